--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -8,7 +8,12 @@
 import time
 import tracemalloc
 
-from hickorylead.crashes import contents, exchange, ledger, messages
+from hickorylead.crashes import (
+    crash_history,
+    crash_tracker,
+    messages,
+    request_hash,
+)
 from hickorylead.wire import codec
 
 NODE = "waikato-1/core-hamilton-1/coordinator"
@@ -66,21 +71,21 @@
     news = messages.BlockNews(NODE, blocks)
     print(f"BlockNews, 5 blocks: {measure_size(news)} B")
     tracemalloc.start()
-    subject = exchange.Exchange(NODE)
-    subject.take(messages.CrashNews(NODE, zone), (), 100.0)
+    subject = crash_tracker.CrashTracker(NODE)
+    subject.merge(messages.CrashNews(NODE, zone), (), 100.0)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"ledger with a zone's lost runs: {used / 1e6:.2f} MB")
     tick_us = measure_time(lambda: subject.tick(lambda _: False, (), 100.0))
     print(f"tick with them: {tick_us:.0f} us")
-    book = ledger.Ledger()
+    book = crash_history.CrashHistory()
     for crash in zone:
         book.take(crash, 100.0)
     forget_us = measure_time(lambda: book.forget(101.0))
     print(f"forgetting, once a second: {forget_us:.0f} us")
     body = bytes(BODY_BYTES)
     hash_us = measure_time(
-        lambda: contents.hash_content("crew", (b"POST", b"/drafts/", body))
+        lambda: request_hash.hash_request("crew", (b"POST", b"/drafts/", body))
     )
     print(f"hashing a request of {BODY_BYTES} bytes: {hash_us:.1f} us")
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -15,7 +15,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / "tests"))
 
-from support import fleetworld
+from support import fleet_simulation
 
 from hickorylead.roles import nodes
 from hickorylead.wire import codec, frame
@@ -68,14 +68,14 @@
 
 def measure(size: Size) -> list[list[str]]:
     """Returns rows of the table for a size."""
-    world = fleetworld.FleetWorld(
+    world = fleet_simulation.FleetSimulation(
         servers_per_zone=size.servers,
         domain_size=size.domain,
         gateways_per_zone=size.gateways,
         coordinators_per_zone=size.coordinators,
     )
     world.run(2.0)
-    world.replace(world.core[0], 1)
+    world.replace(world.coordinator_names[0], 1)
     rows = []
     forming = _play(world, lambda: world.run(10.0))
     rows += _render(size, "groups form", 10.0, forming)
@@ -94,9 +94,9 @@
 
 def _play(world, action) -> Count:
     count = Count()
-    world.watch = count.watch
+    world.on_send = count.watch
     action()
-    world.watch = None
+    world.on_send = None
     return count
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -9,13 +9,13 @@
 import time
 import tracemalloc
 
-from hickorylead.fleet import gateways, neighbours, registry
+from hickorylead.fleet import gateways, peer_directory, registry
 from hickorylead.forwarding import model
 from hickorylead.ratelimits import (
     allocator,
-    exchange,
     messages,
-    permits,
+    permit_broker,
+    permit_pool,
     table as table_module,
 )
 from hickorylead.wire import codec
@@ -62,12 +62,12 @@
     )
 
 
-def make_exchange() -> exchange.Exchange:
+def make_exchange() -> permit_broker.PermitBroker:
     """Returns the exchange of a coordinator that is alone."""
-    return exchange.Exchange(
+    return permit_broker.PermitBroker(
         HOME,
         registry=registry.Registry(),
-        neighbours=neighbours.Neighbours(node=HOME, seeds=()),
+        neighbours=peer_directory.PeerDirectory(node=HOME, seeds=()),
         gateways=gateways.Gateways(zone=HOME),
     )
 
@@ -93,16 +93,16 @@
 def print_memory() -> None:
     """Prints the memory of what a gateway and a coordinator keep."""
     tracemalloc.start()
-    gateway = permits.Permits(GATEWAY, first=1, rng=random.Random(1))
-    gateway.take_news(make_limits(ALL), 100.0)
+    gateway = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
+    gateway.merge_limits(make_limits(ALL), 100.0)
     for limit in make_limits(ALL):
-        gateway.want(make_replica(limit), is_needed=False, now=100.0)
+        gateway.request_permit(make_replica(limit), is_needed=False, now=100.0)
     used, _ = tracemalloc.get_traced_memory()
     print(f"gateway, {ALL} limits and accounts: {used / 1e6:.2f} MB")
     tracemalloc.reset_peak()
     before, _ = tracemalloc.get_traced_memory()
     coordinator = make_exchange()
-    coordinator.take_news(messages.LimitNews(HOME, make_limits(ALL)), 100.0)
+    coordinator.merge_limits(messages.LimitNews(HOME, make_limits(ALL)), 100.0)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"coordinator, {ALL} limits: {(after - before) / 1e6:.2f} MB")
@@ -111,13 +111,13 @@
 def print_times(limits: tuple[messages.RateLimit, ...]) -> None:
     """Prints the processor time of a request for permits, on its way."""
     subject = make_exchange()
-    subject.take_news(messages.LimitNews(HOME, limits), 100.0)
+    subject.merge_limits(messages.LimitNews(HOME, limits), 100.0)
     asks = tuple(messages.Ask(limit, 2) for limit in limits[:ASKED])
     request = messages.PermitRequest(GATEWAY, 1, asks)
     packed = codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
 
     def answer() -> None:
-        subject.answer(request, GATEWAY, is_fresh=True, now=100.0)
+        subject.handle_request(request, GATEWAY, is_fresh=True, now=100.0)
 
     print(f"answering a request of {ASKED}: {measure_time(answer):.0f} us")
     decode_us = measure_time(lambda: codec.decode_envelope(packed))
@@ -125,8 +125,8 @@
         lambda: codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
     )
     print(f"decoding it: {decode_us:.0f} us; encoding it: {encode_us:.0f} us")
-    gateway = permits.Permits(GATEWAY, first=1, rng=random.Random(1))
-    gateway.take_news(limits, 100.0)
+    gateway = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
+    gateway.merge_limits(limits, 100.0)
     replicas = [make_replica(limit) for limit in limits]
 
     def look() -> None:
--- a/bench/notices.py
+++ b/bench/notices.py
@@ -10,7 +10,12 @@
 
 from hickorylead.fleet import instances, messages as fleet_messages
 from hickorylead.forwarding import model
-from hickorylead.notices import book as book_module, exchange, messages, pauses
+from hickorylead.notices import (
+    messages,
+    notice_store as notice_store_module,
+    pause_relay,
+    pauses,
+)
 from hickorylead.wire import codec
 
 GATEWAY = "waikato-1/front-hamilton-12/gateway"
@@ -55,12 +60,14 @@
     return (time.process_time() - began) / ROUNDS * 1e6
 
 
-def make_book(count: int) -> book_module.NoticeBook:
+def make_book(count: int) -> notice_store_module.NoticeStore:
     """Returns the book of a gateway that some replicas turned away."""
-    found = book_module.NoticeBook()
-    head = model.Head(503, not_run=True, retry_after_s=3.0)
+    found = notice_store_module.NoticeStore()
+    head = model.ResponseHead(503, not_run=True, retry_after_s=3.0)
     for number in range(count):
-        found.note_answer(make_replica(number), head, sent_at=99.9, now=100.0)
+        found.record_response(
+            make_replica(number), head, sent_at=99.9, now=100.0
+        )
     return found
 
 
@@ -112,9 +119,9 @@
         for replica in replicas:
             kept.is_leaving(replica, 101.0)
         for replica in replicas:
-            kept.find_pause(replica, 101.0)
+            kept.get_pause_remaining_s(replica, 101.0)
         for replica in replicas:
-            kept.is_doubted(replica, 101.0, may_probe=True)
+            kept.is_likely_to_refuse(replica, 101.0, may_probe=True)
 
     print(f"choosing among {WEIGHED}: {measure_time(look):.0f} us more")
     news = messages.PauseNews(HOME, make_pauses(12))
@@ -123,9 +130,11 @@
     print(f"decoding 12 pauses: {us:.0f} us")
 
     def pass_on() -> None:
-        subject = exchange.Exchange(HOME)
-        subject.take(news, is_passed=False, now=100.0)
-        subject.tell(gateways=[GATEWAY], coordinators=[HOME], now=100.0)
+        subject = pause_relay.PauseRelay(HOME)
+        subject.merge(news, is_forwarded=False, now=100.0)
+        subject.collect_messages(
+            gateways=[GATEWAY], coordinators=[HOME], now=100.0
+        )
 
     print(f"passing them on: {measure_time(pass_on):.0f} us")
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -224,7 +224,7 @@
         serving = [
             g
             for g in self.planner.groups.values()
-            if groups.is_whole(g, self.members)
+            if groups.is_ready(g, self.members)
         ]
         self.downtime_s += max(0, REPLICAS - len(serving)) * seconds
         healthy = len(self.members)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -66,7 +66,7 @@
             and now >= self._book.get(r.group).ejected_until
         ]
         if not usable:
-            return policy.Unavailable(exists=True)
+            return policy.Unavailable(has_untried_replica=True)
         return policy.Choice(self.pick(usable, request), ())
 
 
@@ -115,7 +115,7 @@
     def pick(self, usable, request):
         def cost(replica) -> tuple[float, float]:
             engine = self._arena.engines[replica.group]
-            hit = request.prefixes[0] in engine._cache
+            hit = request.prefix_hashes[0] in engine._cache
             prefill = OWN_TOKENS + (0 if hit else PREFIX_TOKENS)
             waits = max(0, engine.running + engine.queued + 1 - SPEED.slots)
             wait_s = waits * MEAN_ANSWER * SPEED.step_s / SPEED.slots
@@ -125,8 +125,8 @@
         return min(usable, key=cost)
 
 
-def make_own(arena: Arena, number: int) -> policy.Policy:
-    return policy.Policy(
+def make_own(arena: Arena, number: int) -> policy.LoadBalancingPolicy:
+    return policy.LoadBalancingPolicy(
         zone="z",
         table=arena.tables[number],
         book=arena.books[number],
@@ -165,8 +165,8 @@
         self.rng = random.Random(f"arrivals {rate}")
         self.rate = rate
         self.outage = outage
-        self.tables = [table.Table() for _ in range(ENTRIES)]
-        self.books = [health.HealthBook() for _ in range(ENTRIES)]
+        self.tables = [table.ReplicaTable() for _ in range(ENTRIES)]
+        self.books = [health.HealthTracker() for _ in range(ENTRIES)]
         self.engines = {f"g{n:02}": batch.Batch(SPEED) for n in range(REPLICAS)}
         self.dead: set[str] = set()
         self.stepping: set[str] = set()
@@ -232,7 +232,7 @@
         self._sequence += 1
         left = {g: r for g, r in self.replicas.items() if g not in without}
         for known in self.tables:
-            known.update(
+            known.apply_update(
                 messages.TableUpdate(
                     "z", 1, self._sequence, True, tuple(left.values())
                 ),
@@ -260,7 +260,7 @@
             update = messages.TableUpdate("z", 1, sequence, False, loads=loads)
             for known in self.tables:
                 if sequence == self._sequence:
-                    known.update(update, self.now)
+                    known.apply_update(update, self.now)
 
         self.after(REPORT_S, arrive)
         self.after(REPORT_S, self._report)
@@ -289,10 +289,10 @@
             deadline_s=DEADLINE_S,
             prompt_tokens=PREFIX_TOKENS + OWN_TOKENS,
             max_tokens=min(tokens, 300),
-            prefixes=(prefix,),
+            prefix_hashes=(prefix,),
         )
         self.seen[request_id] = Seen(self.now, urgency, workspace)
-        self._give(number, events.Arrive(request, 0.0))
+        self._give(number, events.RequestArrived(request, 0.0))
 
     def _give(self, number: int, event: Any) -> None:
         effects = self.dispatchers[number].handle(
@@ -303,7 +303,7 @@
 
     def _carry_out(self, number: int, effect: Any) -> None:
         match effect:
-            case events.OpenAttempt():
+            case events.StartAttempt():
                 self.seen[effect.request.request_id].attempts += 1
                 self.after(0.001, lambda: self._submit(number, effect))
             case events.EmitText(request_id):
@@ -316,7 +316,7 @@
             case events.CancelAttempt(_, request_id, replica):
                 self.engines[replica.group].cancel(request_id)
 
-    def _submit(self, number: int, attempt: events.OpenAttempt) -> None:
+    def _submit(self, number: int, attempt: events.StartAttempt) -> None:
         group, request = attempt.replica.group, attempt.request
         if group in self.dead:
             failure = events.AttemptFailed(
@@ -326,7 +326,7 @@
             return
         self._owners[request.request_id] = (number, attempt.attempt_id)
         engine = self.engines[group]
-        hit = request.prefixes[0] in engine._cache
+        hit = request.prefix_hashes[0] in engine._cache
         if self.now >= WARM_S:
             self.prompt_tokens += PREFIX_TOKENS
             self.cached_tokens += PREFIX_TOKENS if hit else 0
@@ -337,7 +337,7 @@
                 request.urgency,
                 request.prompt_tokens,
                 request.max_tokens,
-                request.prefixes,
+                request.prefix_hashes,
                 attempt.position,
             )
         )
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -20,9 +20,9 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / "tests"))
 
-from support import operator, servers, world as world_module
+from support import operator_actions, servers, simulation as simulation_module
 
-from hickorylead.claims import holder, messages as claim_messages
+from hickorylead.claims import claim_holder, messages as claim_messages
 from hickorylead.configuration import changes, model
 from hickorylead.membership import announcements, registry
 from hickorylead.placement import planner
@@ -73,7 +73,7 @@
     processor_s: float = 0.0
 
 
-class CountingWorld(world_module.World):
+class CountingWorld(simulation_module.Simulation):
     """A world that counts bytes and processor time of every node."""
 
     def __init__(self, **options: Any) -> None:
@@ -93,7 +93,7 @@
             self.kinds[type(message).__name__] += size
         super().send(source, target, message)
 
-    def give(self, node: str, event: Any) -> None:
+    def deliver(self, node: str, event: Any) -> None:
         """Measures the reducer of a node."""
         role = self.roles.get(node)
         if role is None:
@@ -113,14 +113,16 @@
     for zone in zones:
         for number in range(size.replicas * size.group_size):
             world.add_server(_make_member(zone, number, size.group_size))
-    operator.found_cluster(world)
+    operator_actions.bootstrap_cluster(world)
     service = model.Service(
         "assistant", model="lead", version="1", group_size=size.group_size
     )
-    operator.apply(world, changes.ApplyService(service))
+    operator_actions.apply(world, changes.ApplyService(service))
     shares = tuple(model.Share("assistant", z, size.replicas) for z in zones)
-    operator.apply(world, changes.ApplyPreset(model.Preset("p", shares)))
-    operator.apply(world, changes.SwitchPreset("p"))
+    operator_actions.apply(
+        world, changes.ApplyPreset(model.Preset("p", shares))
+    )
+    operator_actions.apply(world, changes.SwitchPreset("p"))
     world.run(12)
     return world
 
@@ -157,16 +159,16 @@
     holders = {
         node
         for zone in world.zones
-        for node in operator.list_holders(world, zone)
+        for node in operator_actions.list_lease_holders(world, zone)
     }
-    leader = operator.find_leader(world)
+    leader = operator_actions.find_leader(world)
     roles = {
         "entry": list(world.entries),
         "control": [n for n in world.controls if n not in holders],
         "holder": sorted(holders),
         "leader": [leader],
     }
-    serving = [operator.count_replicas(world, n) for n in world.entries]
+    serving = [operator_actions.count_replicas(world, n) for n in world.entries]
     wanted = size.zones * size.replicas
     assert min(serving) == wanted, (min(serving), wanted)
     result: dict[str, Any] = {"size": size}
@@ -190,7 +192,7 @@
     """Returns the bytes that the state of a holder and an entry takes."""
     gc.collect()
     tracemalloc.start()
-    found = registry.Registry()
+    found = registry.MembershipRegistry()
     for number in range(members):
         state = _make_member("zone0", number, group_size).state
         found.members[state.vm] = registry.Member(state, "zone0/vm1/entry")
@@ -202,16 +204,16 @@
     )
     replicas = publisher.build_table(found.members, plan)
     holder_bytes = tracemalloc.get_traced_memory()[0]
-    known = table.Table()
+    known = table.ReplicaTable()
     update = publisher.Publisher(zone="zone0")
     update.publish(
         replicas=replicas, members=found.members, listeners=[], fence=1, now=0.0
     )
-    known.update(update.make_full(found.members), 0.0)
+    known.apply_update(update.make_full_update(found.members), 0.0)
     known.list_replicas("assistant")
     table_bytes = tracemalloc.get_traced_memory()[0] - holder_bytes
     before = tracemalloc.get_traced_memory()[0]
-    claims = holder.Holder(node="zone0/vm1/control", started_at=0.0)
+    claims = claim_holder.ClaimHolder(node="zone0/vm1/control", started_at=0.0)
     for number in range(CLAIMS):
         key = f"work-orders\nkahikatea\n01J{number:023}"
         request = claim_messages.ClaimRequest(
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -2,12 +2,14 @@
 
 import random
 
-from hickorylead.lease import zone
+from hickorylead.lease import zone_lease
 
 NODES = ("a/vm1/control", "a/vm2/control", "a/vm3/control")
 
 leases = {
-    node: zone.Lease(node=node, nodes=NODES, rng=random.Random(number), now=0.0)
+    node: zone_lease.ZoneLease(
+        node=node, nodes=NODES, rng=random.Random(number), now=0.0
+    )
     for number, node in enumerate(NODES)
 }
 
@@ -26,9 +28,9 @@
         del leases[holder]  # The holder dies at 12 s.
     for node, lease in list(leases.items()):
         run(node, lease.tick(now), now)
-    held = [n for n, lease in leases.items() if lease.may_order(now)]
+    held = [n for n, lease in leases.items() if lease.may_issue_orders(now)]
     assert len(held) <= 1
     if held:
         holder = held[0]
 
-print(f"{holder} gives orders under number {leases[holder].number}")
+print(f"{holder} gives orders under number {leases[holder].fencing_number}")
--- a/src/hickorylead/admission/budget.py
+++ b/src/hickorylead/admission/budget.py
@@ -12,7 +12,7 @@
 USED_SHARE = 0.75
 # Gateways assumed until a coordinator has told how many there are: a start
 # with few retries is felt for a fraction of a second.
-FIRST_GATEWAYS = 64
+INITIAL_GATEWAY_COUNT = 64
 # The greatest number told lately counts, for this long, in seconds: the parts
 # of a network that is cut each know of fewer, and retry all the same.
 GATEWAYS_MEMORY_S = 60.0
@@ -39,20 +39,20 @@
         self._saved = saved
         self._most = MAX_SAVED
 
-    def limit(self, most: float) -> None:
+    def set_max_balance(self, most: float) -> None:
         """Sets how many retries may be saved at most; more come at once."""
         self._saved = min(most, self._saved + max(0.0, most - self._most))
         self._most = most
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Counts a first attempt."""
         self._saved = min(self._most, self._saved + self._share)
 
-    def has(self, count: int) -> bool:
+    def has_balance(self, count: int) -> bool:
         """Says whether so many retries are left."""
         return self._saved >= count
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Takes one retry from the budget; says whether there was one."""
         if self._saved < 1.0:
             return False
@@ -66,17 +66,17 @@
 
     Attributes:
         ratio: Retries for each request.
-        extra: Retries beyond that, in a window of some seconds.
+        burst: Retries beyond that, in a window of some seconds.
     """
 
     ratio: float = 0.2
-    extra: float = 136.0
+    burst: float = 136.0
 
 
-DEFAULT_LIMITS = RetryLimits()
+DEFAULT_RETRY_LIMITS = RetryLimits()
 
 
-class SharedBudgets:
+class GatewayRetryBudgets:
     """One gateway's part of the retries that all may make.
 
     Each may save its part of what is allowed beyond the ratio. With a fixed
@@ -92,10 +92,10 @@
         """
         self._limits = limits
         self._budgets: dict[str, RetryBudget] = {}
-        self._gateways = FIRST_GATEWAYS
+        self._gateways = INITIAL_GATEWAY_COUNT
         self._told_at: float | None = None
 
-    def note_gateways(self, count: int, now: float) -> None:
+    def set_gateway_count(self, count: int, now: float) -> None:
         """Takes how many gateways there are."""
         if (
             count >= self._gateways
@@ -105,20 +105,20 @@
             self._gateways = max(1, count)
             self._told_at = now
             for budget in self._budgets.values():
-                budget.limit(self._most)
+                budget.set_max_balance(self._most)
 
     @property
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """The gateways that share what all may do, the most told lately."""
         return self._gateways
 
-    def find(self, service: str) -> RetryBudget:
+    def get_budget(self, service: str) -> RetryBudget:
         """Returns the budget for the retries of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             share = USED_SHARE * self._limits.ratio
             budget = RetryBudget(share=share, saved=self._most)
-            budget.limit(self._most)
+            budget.set_max_balance(self._most)
             self._budgets[service] = budget
         return budget
 
@@ -126,4 +126,4 @@
     def _most(self) -> float:
         # Less than one could never be spent. More gateways than retries
         # beyond the ratio have that ratio to make up for it.
-        return max(1.0, USED_SHARE * self._limits.extra / self._gateways)
+        return max(1.0, USED_SHARE * self._limits.burst / self._gateways)
--- a/src/hickorylead/claims/holder.py
+++ b/src/hickorylead/claims/claim_holder.py
@@ -36,7 +36,7 @@
     answer: messages.FinalAnswer | None = None
 
 
-class Holder:
+class ClaimHolder:
     """Claims kept by one control process."""
 
     def __init__(
--- a/src/hickorylead/claims/claimant.py
+++ b/src/hickorylead/claims/claimant.py
@@ -20,7 +20,7 @@
 # A holder that does not answer within this is passed over.
 HOLDER_TIMEOUT_S = 0.25
 
-Result = Literal[
+ClaimResult = Literal[
     "waiting", "granted", "taken", "finished", "mismatch", "too_old", "none"
 ]
 
@@ -55,7 +55,7 @@
 
     request: messages.ClaimRequest
     holders: list[str]
-    result: Result = "waiting"
+    result: ClaimResult = "waiting"
     answer: messages.FinalAnswer | None = None
     asked_at: float = 0.0
     _place: int = -1
@@ -122,6 +122,6 @@
         self.asked_at = now
         return [messages.Send(self.holders[self._place], self.request)]
 
-    def _give_up(self, result: Result) -> list[messages.Send]:
+    def _give_up(self, result: ClaimResult) -> list[messages.Send]:
         self.result = result
         return self.release()
--- a/src/hickorylead/claims/keys.py
+++ b/src/hickorylead/claims/idempotency_keys.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Key:
+class IdempotencyKey:
     """A checked idempotency key.
 
     Attributes:
@@ -31,7 +31,7 @@
     made_at: float
 
 
-def parse_key(text: str) -> result.Result[Key, str]:
+def parse_key(text: str) -> result.Result[IdempotencyKey, str]:
     """Returns the key in a header value, or what is wrong with it."""
     bare = text.strip().strip('"')
     if len(bare) == _ULID_LENGTH:
@@ -42,13 +42,15 @@
         return result.Failure("the key is neither a ULID nor a UUID")
     if parsed.version != 7:
         return result.Failure("a UUID used as key must be of version 7")
-    return result.Success(Key(str(parsed), (parsed.int >> 80) / 1000))
+    return result.Success(
+        IdempotencyKey(str(parsed), (parsed.int >> 80) / 1000)
+    )
 
 
-def _parse_ulid(text: str) -> result.Result[Key, str]:
+def _parse_ulid(text: str) -> result.Result[IdempotencyKey, str]:
     if any(digit not in _ULID_DIGITS for digit in text) or text[0] > "7":
         return result.Failure("the key is not a valid ULID")
     made_ms = 0
     for digit in text[:_ULID_TIME_DIGITS]:
         made_ms = made_ms * 32 + _ULID_DIGITS.index(digit)
-    return result.Success(Key(text, made_ms / 1000))
+    return result.Success(IdempotencyKey(text, made_ms / 1000))
--- a/src/hickorylead/commands/client.py
+++ b/src/hickorylead/commands/client.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """An entry's answer."""
 
     status: int
@@ -63,16 +63,16 @@
             raise errors.RefusedError(_describe(answer))
         return answer.body
 
-    def post(self, path: str) -> Answer:
+    def post(self, path: str) -> Response:
         """Returns the answer to a request without a body."""
         return asyncio.run(self._call("POST", path, b""))
 
     def get_configuration(self) -> model.Configuration:
         """Returns the configuration in force."""
-        from hickorylead.runtime import documents
+        from hickorylead.runtime import json_codec
 
         found = self.get("/admin/configuration")
-        return documents.read_configuration(found).unwrap()
+        return json_codec.read_configuration(found).unwrap()
 
     def submit(
         self, operation: changes.Operation, expected_version: int | None
@@ -89,7 +89,7 @@
             errors.RefusedError: The change cannot be taken.
             errors.UnreachableError: Whether it took effect is not known.
         """
-        from hickorylead.runtime import documents
+        from hickorylead.runtime import json_codec
 
         if expected_version is None:
             expected_version = self.get_configuration().version
@@ -98,7 +98,7 @@
             {
                 "change_id": change_id,
                 "expected_version": expected_version,
-                "operation": documents.dump_operation(operation),
+                "operation": json_codec.dump_operation(operation),
             }
         )
         answer = asyncio.run(self._submit(body, change_id))
@@ -111,7 +111,7 @@
             )
         raise errors.RefusedError(_describe(answer))
 
-    async def _submit(self, body: bytes, change_id: str) -> Answer:
+    async def _submit(self, body: bytes, change_id: str) -> Response:
         problem = ""
         for attempt in range(ATTEMPTS):
             if attempt:
@@ -128,7 +128,7 @@
             f"change {change_id} may have taken effect: {problem}"
         )
 
-    async def _call(self, method: str, path: str, body: bytes) -> Answer:
+    async def _call(self, method: str, path: str, body: bytes) -> Response:
         import aiohttp
 
         headers = {"Authorization": f"Bearer {self._token}"}
@@ -141,7 +141,7 @@
                 ) as response,
             ):
                 text = await response.read()
-                return Answer(response.status, _load(text))
+                return Response(response.status, _load(text))
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise errors.UnreachableError(
                 f"{self._entry} does not answer:"
@@ -157,7 +157,7 @@
     return found if isinstance(found, dict) else {"detail": str(found)}
 
 
-def _describe(answer: Answer) -> str:
+def _describe(answer: Response) -> str:
     code = answer.body.get("code") or answer.body.get("reason")
     detail = answer.body.get("detail", "")
     return f"{code or answer.status}: {detail}"
--- a/src/hickorylead/commands/roles.py
+++ b/src/hickorylead/commands/roles.py
@@ -95,7 +95,7 @@
         zone=settings["zone"],
         vm=settings["vm"],
     )
-    _run_loop(entry.EntryShell, settings)
+    _run_loop(entry.EntryProcess, settings)
 
 
 def _run_control(settings: Mapping[str, Any]) -> None:
@@ -108,7 +108,7 @@
         zone=settings["zone"],
         vm=settings["vm"],
     )
-    _run_loop(control.ControlShell, settings)
+    _run_loop(control.ControlProcess, settings)
 
 
 def _run_loop(shell: Callable[..., Any], settings: Mapping[str, Any]) -> None:
--- a/src/hickorylead/configuration/document.py
+++ b/src/hickorylead/configuration/document.py
@@ -16,7 +16,7 @@
 MAX_CONTENT_BYTES = 8 * 1024 * 1024
 
 
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """What may be repeated of a route's requests."""
 
     IDEMPOTENT = "idempotent"
@@ -44,7 +44,7 @@
         targets: Services with their weights.
         timeout_s: Longest time a caller is kept waiting, in seconds.
         objective_s: Time within which the answer should start, in seconds.
-        pause_s: Longest pause between two events of a stream that still
+        max_event_gap_s: Longest pause between two events of a stream that still
             counts as on time, in seconds; 0 if there is no stream.
         priority: Rank; 0 is the most urgent.
         max_attempts: Replicas that one request may be sent to.
@@ -56,11 +56,11 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     targets: tuple[Target, ...]
     timeout_s: float
     objective_s: float
-    pause_s: float = 0.0
+    max_event_gap_s: float = 0.0
     priority: int = 1
     max_attempts: int = 1
     needs_key: bool = True
@@ -68,71 +68,75 @@
     resumable: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Says whether a request may run on more than one replica."""
-        return self.kind is Kind.IDEMPOTENT or (
-            self.kind is Kind.STREAM and self.resumable
+        return self.kind is RouteKind.IDEMPOTENT or (
+            self.kind is RouteKind.STREAM and self.resumable
         )
 
 
 @attrs.frozen
-class ModelFigures:
+class ModelProfile:
     """One model of an engine.
 
     Attributes:
         name: Name of the model.
         group_size: VMs that make one replica.
-        share: Share of the VMs that the model needs at the start, 0 to 1.
-        pace: Factor on all times of a replica of this model.
+        initial_vm_share: Share of the VMs that the model needs at the start, 0
+            to 1.
+        time_factor: Factor on all times of a replica of this model.
         load_s: Time to load it from the weight store, in seconds.
-        warm_s: Time to load it from the VM's own staging, in seconds.
+        staged_load_s: Time to load it from the VM's own staging, in seconds.
     """
 
     name: str
     group_size: int
-    share: float
-    pace: float
+    initial_vm_share: float
+    time_factor: float
     load_s: float
-    warm_s: float
+    staged_load_s: float
 
 
 @attrs.frozen
-class Engine:
+class EngineProfile:
     """Figures of the engines of a service, for estimates of their times.
 
     Attributes:
         slots: Requests that a replica runs at once.
-        kv_tokens: Tokens that fit into a replica's memory.
-        step_s: Time of a step that writes one token a request, in seconds.
-        step_per_request_s: More for each request that writes, in seconds.
-        step_per_token_s: More for each token of context, in seconds.
-        read_s: Time to read one token of a prompt, in seconds.
-        chunk_tokens: Most tokens of prompts that are read in one step.
-        stride: Steps between two events of a stream.
+        kv_cache_tokens: Tokens that fit into a replica's memory.
+        decode_step_s: Time of a step that writes one token a request, in
+            seconds.
+        decode_step_per_request_s: More for each request that writes, in
+            seconds.
+        decode_step_per_context_token_s: More for each token of context, in
+            seconds.
+        prefill_per_token_s: Time to read one token of a prompt, in seconds.
+        prefill_chunk_tokens: Most tokens of prompts that are read in one step.
+        steps_per_event: Steps between two events of a stream.
         models: The models.
-        loads_per_s: Loads that may start in a second, over all VMs.
-        loads_at_once: Loads that the weight store serves at full speed at the
-            same time, over all VMs; more of them slow each other down. 0 if
-            unsaid.
-        staged_models: Models that a VM keeps staged.
-        form_s: Time from the order to serve until a replica serves.
+        max_load_starts_per_s: Loads that may start in a second, over all VMs.
+        max_concurrent_loads: Loads that the weight store serves at full speed
+            at the same time, over all VMs; more of them slow each other down. 0
+            if unsaid.
+        max_staged_models: Models that a VM keeps staged.
+        group_start_s: Time from the order to serve until a replica serves.
     """
 
     slots: int
-    kv_tokens: int
-    step_s: float
-    step_per_request_s: float
-    step_per_token_s: float
-    read_s: float
-    chunk_tokens: int
-    stride: int
-    models: tuple[ModelFigures, ...]
-    loads_per_s: float
-    loads_at_once: int = 0
-    staged_models: int = 1
-    form_s: float = 0.3
-
-    def find_model(self, name: str) -> ModelFigures | None:
+    kv_cache_tokens: int
+    decode_step_s: float
+    decode_step_per_request_s: float
+    decode_step_per_context_token_s: float
+    prefill_per_token_s: float
+    prefill_chunk_tokens: int
+    steps_per_event: int
+    models: tuple[ModelProfile, ...]
+    max_load_starts_per_s: float
+    max_concurrent_loads: int = 0
+    max_staged_models: int = 1
+    group_start_s: float = 0.3
+
+    def find_model(self, name: str) -> ModelProfile | None:
         """Returns the model of that name, if there is one."""
         return next((m for m in self.models if m.name == name), None)
 
@@ -152,7 +156,7 @@
     name: str
     health_path: str = "/health"
     max_connections: int = 0
-    engine: Engine | None = None
+    engine: EngineProfile | None = None
 
 
 @attrs.frozen
@@ -160,16 +164,16 @@
     """What callers may send, and how long they may take.
 
     Attributes:
-        header_bytes: Longest head of a request, in bytes.
-        body_bytes: Longest body of a request, in bytes.
-        header_s: Longest time for the head of a request, in seconds.
-        idle_s: How long a connection may be idle, in seconds.
+        max_header_bytes: Longest head of a request, in bytes.
+        max_body_bytes: Longest body of a request, in bytes.
+        header_timeout_s: Longest time for the head of a request, in seconds.
+        idle_timeout_s: How long a connection may be idle, in seconds.
     """
 
-    header_bytes: int = 16384
-    body_bytes: int = 4 * 1024 * 1024
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4 * 1024 * 1024
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 @attrs.frozen
@@ -254,12 +258,12 @@
     return problems
 
 
-def pack_content(content: bytes) -> bytes:
+def compress_content(content: bytes) -> bytes:
     """Returns a configuration's bytes, made small for the log and the wire."""
     return zlib.compress(content, 1)
 
 
-def unpack_content(packed: bytes) -> bytes:
+def decompress_content(packed: bytes) -> bytes:
     """Returns the bytes that were packed.
 
     Raises:
--- a/src/hickorylead/configuration/model.py
+++ b/src/hickorylead/configuration/model.py
@@ -70,7 +70,7 @@
         outside_version: Version that the operator gave a configuration taken
             over whole; 0 if there is none.
         content: That configuration as the operator sent it, packed by
-            `documents.pack_content`.
+            `document.compress_content`.
     """
 
     version: int = 0
--- a/src/hickorylead/consensus/whole.py
+++ b/src/hickorylead/consensus/configuration_requests.py
@@ -59,7 +59,7 @@
     sent_at: float = -1e9
 
 
-class WholeConfigurations:
+class ConfigurationRequests:
     """Calls about whole configurations at one control node."""
 
     def __init__(self, *, node: str, voter: voter_module.Voter) -> None:
@@ -81,7 +81,7 @@
         *,
         version: int,
         content: bytes,
-        asker: str,
+        requester: str,
         now: float,
     ) -> list[Effect]:
         """Takes a configuration from an operator, or passed on by a node.
@@ -90,24 +90,24 @@
             token: Names the call.
             version: The operator's version.
             content: The configuration, packed.
-            asker: Node that passed it on; empty if an operator called here.
+            requester: Node that passed it on; empty if an operator called here.
             now: Present time.
         """
-        self._replaces[token] = _Replace(version, content, asker, now)
+        self._replaces[token] = _Replace(version, content, requester, now)
         return self._push_replace(token, now)
 
     def read(
-        self, token: str, *, asker: str, held: int, now: float
+        self, token: str, *, requester: str, held_version: int, now: float
     ) -> list[Effect]:
         """Takes a read from an operator, or passed on by a node.
 
         Args:
             token: Names the call.
-            asker: Node that passed it on; empty if an operator called here.
-            held: Version that the asker holds.
+            requester: Node that passed it on; empty if an operator called here.
+            held_version: Version that the asker holds.
             now: Present time.
         """
-        self._reads[token] = _Read(asker, now, held)
+        self._reads[token] = _Read(requester, now, held_version)
         effects: list[Effect] = []
         if self._voter.role == "leader":
             effects += self._voter.ask_followers(now)
@@ -132,7 +132,7 @@
                 return [events.AnswerRead(token, version, content)]
         return []
 
-    def note_outcome(self, change_id: str) -> list[Effect]:
+    def handle_committed(self, change_id: str) -> list[Effect]:
         """Takes the news that a change is committed."""
         return [
             effect
@@ -141,7 +141,7 @@
             for effect in self._end_replace(token, True)
         ]
 
-    def note_abandoned(self, change_id: str) -> None:
+    def handle_abandoned(self, change_id: str) -> None:
         """Takes the news that this node lost the lead before a commit."""
         for call in self._replaces.values():
             if call.change_id == change_id:
@@ -173,7 +173,7 @@
         if call.change_id:
             return []
         if self._voter.role == "leader":
-            if not self._voter.leads(now):
+            if not self._voter.is_ready_leader(now):
                 return []
             self._count += 1
             call.change_id = f"{self._voter.member}.{now:.3f}.{self._count}"
--- a/src/hickorylead/consensus/voter.py
+++ b/src/hickorylead/consensus/voter.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Tuning:
+class VoterOptions:
     """How fast voters notice that one of them is gone.
 
     Attributes:
@@ -37,14 +37,14 @@
         election_min_s: Shortest silence after which a voter wants to lead,
             and longest that a leader goes on without a majority, in seconds.
         election_max_s: Longest such silence, in seconds.
-        first_election_s: Longest silence of the others after which a voter
+        first_election_max_s: Longest silence of the others after which a voter
             that has just started wants to lead, in seconds; 0 if it waits
             as long as always. After all voters were killed nobody leads, and
             a trial vote keeps it from deposing a leader that there is.
         replace_after_s: Silence after which a voter gives way to a newcomer
             of its zone, in seconds; 0 if none ever does.
         min_voters: Voters that are never gone below by that.
-        forgotten_s: Silence after which a voter asks to join again, in
+        rejoin_after_s: Silence after which a voter asks to join again, in
             seconds. It may have been removed while it was frozen, and the
             entry that says so does not reach it any more: nobody tells it
             anything, and it would ask for votes in vain for ever. A leader
@@ -54,13 +54,13 @@
     heartbeat_s: float = 0.5
     election_min_s: float = 2.0
     election_max_s: float = 4.0
-    first_election_s: float = 0.0
+    first_election_max_s: float = 0.0
     replace_after_s: float = 0.0
     min_voters: int = 3
-    forgotten_s: float = 8.0
+    rejoin_after_s: float = 8.0
 
 
-DEFAULT_TUNING = Tuning()
+DEFAULT_OPTIONS = VoterOptions()
 
 
 @attrs.define
@@ -83,7 +83,7 @@
         peers: tuple[str, ...],
         rng: random.Random,
         now: float,
-        tuning: Tuning = DEFAULT_TUNING,
+        options: VoterOptions = DEFAULT_OPTIONS,
     ) -> None:
         """Makes a voter that knows nothing yet.
 
@@ -93,9 +93,9 @@
             incarnation: Name of the data folder's present life.
             rng: Source of the spread of election timeouts.
             now: Present time.
-            tuning: How fast a lost voter is noticed.
+            options: How fast a lost voter is noticed.
         """
-        self._tuning = tuning
+        self._tuning = options
         self.member = f"{node}#{incarnation}"
         self.role: Role = "follower"
         self.leader = ""
@@ -117,8 +117,8 @@
         self._next_heartbeat = now
         self._next_join = now
         self._reset_deadline(now)
-        if tuning.first_election_s:
-            longest_s = tuning.first_election_s
+        if options.first_election_max_s:
+            longest_s = options.first_election_max_s
             self._deadline = now + rng.uniform(longest_s / 4, longest_s)
 
     @property
@@ -153,7 +153,7 @@
             self.log.replay(record)
         self._load_snapshot()
 
-    def export(self) -> list[messages.Record]:
+    def export_records(self) -> list[messages.Record]:
         """Returns the records that amount to all this voter must keep."""
         rest = self.log.list_from(self.log.snapshot.index + 1, len(self.log))
         records: list[messages.Record] = [
@@ -162,7 +162,7 @@
         ]
         return [*records, messages.AppendLog(rest)] if rest else records
 
-    def found(self, cluster: str, voters: tuple[str, ...]) -> list:
+    def bootstrap(self, cluster: str, voters: tuple[str, ...]) -> list:
         """Starts a cluster; an answer of no effects means there is one."""
         if self.cluster:
             return []
@@ -182,7 +182,7 @@
             and now - self._heard_leader_at < self._tuning.election_max_s
         )
 
-    def leads(self, now: float) -> bool:
+    def is_ready_leader(self, now: float) -> bool:
         """Says whether this voter leads and knows all that is committed.
 
         A new leader holds every committed entry, but only an entry of its own
@@ -206,7 +206,9 @@
             for member, progress in self._progress.items()
             if progress.heard_at >= asked_at
         }
-        return self.leads(now) and self._is_majority(heard | {self.member})
+        return self.is_ready_leader(now) and self._is_majority(
+            heard | {self.member}
+        )
 
     def ask_followers(self, now: float) -> list[messages.Effect]:
         """Sends a heartbeat at once, so that a read is confirmed soon."""
@@ -221,7 +223,7 @@
         effects: list[messages.Effect] = []
         if now >= self._deadline:
             effects += self._start_election(now)
-        if now - self._heard_leader_at > self._tuning.forgotten_s:
+        if now - self._heard_leader_at > self._tuning.rejoin_after_s:
             effects += self._ask_to_join(now)
         return effects
 
--- a/src/hickorylead/crashes/guard.py
+++ b/src/hickorylead/crashes/crash_guard.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hickorylead.crashes import ledger, messages
+from hickorylead.crashes import crash_history, messages
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -35,7 +35,7 @@
     is_told_twice: bool = False
 
 
-class Guard:
+class CrashGuard:
     """The blocked contents that a gateway knows, and the runs that it lost."""
 
     def __init__(self, node: str) -> None:
@@ -61,12 +61,12 @@
         """Returns how many contents are blocked."""
         return len(self._blocked)
 
-    def find_check(self, now: float) -> int:
+    def compute_digest(self, now: float) -> int:
         """Returns a hash over the blocked and suspected contents."""
         self._forget(now)
         return hash_contents(self._blocked, self._suspected)
 
-    def find_block(self, content: int, now: float) -> float | None:
+    def get_block_remaining_s(self, content: int, now: float) -> float | None:
         """Returns how much longer a content is blocked, in seconds.
 
         None if it is not.
@@ -92,17 +92,18 @@
         """Returns whether a content may have ended a server recently.
 
         Coordinators suspect it, or this gateway lost a run of it within
-        `ledger.PENDING_S` and got no whole answer.
+        `crash_history.PENDING_S` and got no whole answer.
         """
         until, _ = self._suspected.get(content, (now, True))
         if until > now:
             return True
         return not self._was_answered(content, now) and any(
-            own.crash.content == content and now - own.at <= ledger.PENDING_S
+            own.crash.content == content
+            and now - own.at <= crash_history.PENDING_S
             for own in self._own
         )
 
-    def note_lost(
+    def record_lost_run(
         self, content: int, server: str, born: int, now: float
     ) -> None:
         """Takes that a server gave no whole answer and may have run it.
@@ -114,7 +115,7 @@
         crash = messages.Crash(content, server, born, 0)
         self._own.append(_Own(crash, now))
 
-    def note_answered(self, content: int, now: float) -> None:
+    def record_complete_response(self, content: int, now: float) -> None:
         """Takes that a server answered a content whole."""
         if self._suspected.pop(content, None) is not None:
             self._cleared.add(content)
@@ -123,7 +124,7 @@
         if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
 
-    def take(self, news: messages.BlockNews, now: float) -> None:
+    def apply_blocks(self, news: messages.BlockNews, now: float) -> None:
         """Takes the blocked contents that a coordinator knows.
 
         What it does not name stays blocked for its time: it may have restarted
@@ -145,7 +146,7 @@
             is_allowed = suspicion.gateway == self._node
             self._suspected[suspicion.content] = until, is_allowed
 
-    def tell(
+    def collect_messages(
         self, home: str, now: float
     ) -> list[tuple[str, messages.CrashNews]]:
         """Returns what its home is to be told now.
@@ -154,7 +155,7 @@
             home: The gateway's coordinator; empty if it has none.
             now: Present time.
         """
-        while self._own and now - self._own[0].at > ledger.PENDING_S:
+        while self._own and now - self._own[0].at > crash_history.PENDING_S:
             self._own.popleft()
         is_new = home != self._home
         self._home = home
--- a/src/hickorylead/crashes/ledger.py
+++ b/src/hickorylead/crashes/crash_history.py
@@ -21,7 +21,7 @@
 # stream that loses its server goes on at another one, which may end as well. A
 # request and its caller's retry have four tries, so one that is innocent can
 # meet a third end, and loses its last try then.
-LIMIT = 3
+BLOCK_THRESHOLD = 3
 # A lost run counts only if the life of its server ends within this, in seconds.
 # Coordinators may be away for some seconds and hear of servers only after that.
 PENDING_S = 30.0
@@ -30,8 +30,8 @@
 # for one that was blocked wrongly. One that still ends servers costs three of
 # them each time.
 MEMORY_S = 900.0
-# A content under which `LIMIT` - 1 servers ended is suspected until the first
-# of these losses is this old, in seconds.
+# A content under which `BLOCK_THRESHOLD` - 1 servers ended is suspected until
+# the first of these losses is this old, in seconds.
 SUSPICION_S = 60.0
 # If more contents than this are suspected, all suspicions are ignored: a zone
 # or switch failure ends many servers at once, under requests that did not cause
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Life:
+class Incarnation:
     """One life of a server; see `messages.Crash`."""
 
     server: str
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen(order=True)
-class Run:
+class RunKey:
     """A content at one life of a server."""
 
     content: int
@@ -67,15 +67,17 @@
     has_ended: bool
 
 
-class Ledger:
+class CrashHistory:
     """Lost runs by content and server."""
 
     def __init__(self) -> None:
         """Makes a ledger that knows nothing."""
-        self._losses: dict[int, dict[Life, _Loss]] = {}
+        self._losses: dict[int, dict[Incarnation, _Loss]] = {}
         self._cleared: dict[int, float] = {}
         # Contents that wait for news of a server's life, by that life.
-        self._pending: dict[Life, set[int]] = collections.defaultdict(set)
+        self._pending: dict[Incarnation, set[int]] = collections.defaultdict(
+            set
+        )
         # Contents with one lost run, the oldest first.
         self._single: dict[int, None] = {}
         self._count = 0
@@ -90,7 +92,7 @@
 
     def knows(self, crash: messages.Crash) -> bool:
         """Says whether a lost run was told before."""
-        life = Life(crash.server, crash.born)
+        life = Incarnation(crash.server, crash.born)
         return life in self._losses.get(crash.content, {})
 
     def take(self, crash: messages.Crash, now: float) -> bool:
@@ -98,7 +100,7 @@
         at = now - crash.age_ms / 1000.0
         if at <= self._cleared.get(crash.content, -1e9):
             return False
-        life = Life(crash.server, crash.born)
+        life = Incarnation(crash.server, crash.born)
         known = self._losses.get(crash.content, {}).get(life)
         if known is not None:
             # The oldest time counts: told again and again, by nodes whose disk
@@ -118,7 +120,9 @@
         self._turn(_hash_loss(crash.content, life, loss))
         return True
 
-    def confirm(self, has_ended: Callable[[Life], bool]) -> list[Life]:
+    def confirm(
+        self, has_ended: Callable[[Incarnation], bool]
+    ) -> list[Incarnation]:
         """Finds which servers of lost runs have ended since; returns them."""
         ended = [life for life in self._pending if has_ended(life)]
         for life in ended:
@@ -159,9 +163,9 @@
             self._blocked, self._suspected = {}, {}
             for content, losses in self._losses.items():
                 ends = sorted(x.at for x in losses.values() if x.has_ended)
-                if len(ends) >= LIMIT:
-                    self._blocked[content] = ends[-LIMIT] + MEMORY_S
-                elif len(ends) == LIMIT - 1:
+                if len(ends) >= BLOCK_THRESHOLD:
+                    self._blocked[content] = ends[-BLOCK_THRESHOLD] + MEMORY_S
+                elif len(ends) == BLOCK_THRESHOLD - 1:
                     self._suspected[content] = ends[0] + SUSPICION_S
         return self._blocked
 
@@ -200,7 +204,7 @@
             for content, at in self._cleared.items()
         )
 
-    def _note_end(self, content: int, life: Life) -> bool:
+    def _note_end(self, content: int, life: Incarnation) -> bool:
         loss = self._losses[content][life]
         if loss.has_ended:
             return False
@@ -210,7 +214,7 @@
         self._turn(before ^ _hash_loss(content, life, loss))
         return True
 
-    def _drop(self, content: int, life: Life) -> None:
+    def _drop(self, content: int, life: Incarnation) -> None:
         losses = self._losses[content]
         self._turn(_hash_loss(content, life, losses.pop(life)))
         self._settle(content, life)
@@ -219,7 +223,7 @@
             del self._losses[content]
         self._sort(content)
 
-    def _settle(self, content: int, life: Life) -> None:
+    def _settle(self, content: int, life: Incarnation) -> None:
         """Ends the wait for news of a life under a content."""
         waiting = self._pending.get(life)
         if waiting is None:
@@ -262,7 +266,7 @@
     return max(0, round(seconds * 1000))
 
 
-def _hash_loss(content: int, life: Life, loss: _Loss) -> int:
+def _hash_loss(content: int, life: Incarnation, loss: _Loss) -> int:
     return _hash(f"{content} {life.server} {life.born} {loss.has_ended}")
 
 
--- a/src/hickorylead/crashes/exchange.py
+++ b/src/hickorylead/crashes/crash_tracker.py
@@ -9,8 +9,13 @@
 from typing import TYPE_CHECKING, TypeAlias
 
 from hickorylead import notes, rendezvous
-from hickorylead.crashes import contents, guard, ledger, messages
-from hickorylead.fleet import differences
+from hickorylead.crashes import (
+    crash_guard,
+    crash_history,
+    messages,
+    request_hash,
+)
+from hickorylead.fleet import divergence
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -23,7 +28,7 @@
 RETELL_PERIOD_S = 5.0
 
 
-class Exchange:
+class CrashTracker:
     """The ledger of one coordinator, and whom it tells of it."""
 
     def __init__(self, node: str) -> None:
@@ -33,7 +38,7 @@
             node: Name of the coordinator.
         """
         self._node = node
-        self._ledger = ledger.Ledger()
+        self._ledger = crash_history.CrashHistory()
         self._told: frozenset[int] = frozenset()
         self._told_suspected: dict[int, str] = {}
         # Gateways whose home this coordinator is.
@@ -41,11 +46,11 @@
         # Other coordinators that are home to gateways.
         self._other_homes: tuple[str, ...] = ()
         self._next_forget = 0.0
-        self._coordinators = differences.Differences()
-        self._gateways = differences.Differences()
+        self._coordinators = divergence.DivergenceDetector()
+        self._gateways = divergence.DivergenceDetector()
 
     @property
-    def check(self) -> int:
+    def digest(self) -> int:
         """A hash over all that is known, the same at those that know it."""
         return self._ledger.check
 
@@ -53,7 +58,7 @@
         """Returns how many contents are blocked."""
         return len(self._ledger.find_blocked())
 
-    def list_new(self, news: messages.CrashNews) -> list[str]:
+    def list_new_servers(self, news: messages.CrashNews) -> list[str]:
         """Returns the servers of lost runs that were not told before.
 
         Those that are not known to have ended, each once, sorted.
@@ -65,7 +70,7 @@
         }
         return sorted(found)
 
-    def take(
+    def merge(
         self, news: messages.CrashNews, others: Iterable[str], now: float
     ) -> list[Sent]:
         """Takes news; returns what others are to be told.
@@ -85,15 +90,15 @@
         passed = messages.CrashNews(self._node, crashes, cleared)
         return [(node, passed) for node in others]
 
-    def recall(self, remembered: messages.CrashNews, now: float) -> None:
+    def restore(self, remembered: messages.CrashNews, now: float) -> None:
         """Takes what was known before a restart.
 
         Its ages are those of the time when it was saved; another node that
         knows how old it really is goes first.
         """
-        self.take(remembered, (), now)
+        self.merge(remembered, (), now)
 
-    def compare_coordinator(
+    def sync_coordinator(
         self, node: str, check: int, *, is_new: bool, now: float
     ) -> list[Sent]:
         """Returns what another coordinator lacks, by the hash that it told.
@@ -101,12 +106,14 @@
         Both tell all they know. One that was cut off or lost its disk knows
         the same after that.
         """
-        differs = self._coordinators.differs(node, check, self.check, now)
-        if not differs and not (is_new and check != self.check):
+        differs = self._coordinators.needs_full_sync(
+            node, check, self.digest, now
+        )
+        if not differs and not (is_new and check != self.digest):
             return []
-        return [(node, self.describe_all(now))]
+        return [(node, self.make_full_update(now))]
 
-    def compare_gateway(
+    def sync_gateway(
         self, node: str, check: int, *, is_new: bool, now: float
     ) -> list[Sent]:
         """Returns what a gateway lacks, by the hash that it told.
@@ -114,21 +121,21 @@
         One that has started or turned here is told at once: it would send what
         all others block.
         """
-        ours = guard.hash_contents(
+        ours = crash_guard.hash_contents(
             self._ledger.find_blocked(), self._ledger.find_suspected(now)
         )
-        differs = self._gateways.differs(node, check, ours, now)
+        differs = self._gateways.needs_full_sync(node, check, ours, now)
         if not differs and not (is_new and check != ours):
             return []
-        return [(node, self.describe_blocked(now))]
+        return [(node, self.make_block_update(now))]
 
     def tick(
         self,
-        has_ended: Callable[[ledger.Life], bool],
+        has_ended: Callable[[crash_history.Incarnation], bool],
         gateways: Iterable[str],
         now: float,
         *,
-        other_homes: Iterable[str] = (),
+        other_home_coordinators: Iterable[str] = (),
     ) -> tuple[list[Sent], list[notes.Note]]:
         """Lets time pass: servers end, contents are blocked.
 
@@ -136,24 +143,25 @@
             has_ended: Says whether a server's life is known to have ended.
             gateways: Gateways whose home this coordinator is.
             now: Present time.
-            other_homes: Other coordinators that are home to gateways.
+            other_home_coordinators: Other coordinators that are home to
+                gateways.
         """
         self._ledger.confirm(has_ended)
         if now >= self._next_forget:
             self._next_forget = now + FORGET_PERIOD_S
             self._ledger.forget(now)
         self._own_gateways = tuple(gateways)
-        self._other_homes = tuple(other_homes)
+        self._other_homes = tuple(other_home_coordinators)
         blocked = frozenset(self._ledger.find_blocked())
         suspected = self._choose_gateways(now)
         if blocked == self._told and suspected == self._told_suspected:
             return [], []
         written = self._describe_change(blocked)
         self._told, self._told_suspected = blocked, suspected
-        news = self.describe_blocked(now)
+        news = self.make_block_update(now)
         return [(node, news) for node in self._own_gateways], written
 
-    def describe_blocked(self, now: float) -> messages.BlockNews:
+    def make_block_update(self, now: float) -> messages.BlockNews:
         """Returns all blocked and suspected contents, for the gateways.
 
         At most one of these gateways may send a suspected content, so that it
@@ -194,7 +202,7 @@
             chosen[content] = gateways[0] if is_mine else ""
         return chosen
 
-    def describe_proof(self, now: float) -> messages.CrashNews:
+    def make_evidence_update(self, now: float) -> messages.CrashNews:
         """Returns the lost runs for which something is blocked, no others.
 
         After the loss of a zone thousands of runs are known that block nothing.
@@ -207,7 +215,7 @@
         )
         return messages.CrashNews(self._node, crashes)
 
-    def describe_all(self, now: float) -> messages.CrashNews:
+    def make_full_update(self, now: float) -> messages.CrashNews:
         """Returns all that is known, for another node or for the disk."""
         return messages.CrashNews(
             self._node,
@@ -219,14 +227,15 @@
         found = [
             notes.note(
                 "content_blocked",
-                content=contents.write_content(content),
+                content=request_hash.format_request_hash(content),
                 servers=self._ledger.list_servers(content),
             )
             for content in sorted(blocked - self._told)
         ]
         found += [
             notes.note(
-                "content_unblocked", content=contents.write_content(content)
+                "content_unblocked",
+                content=request_hash.format_request_hash(content),
             )
             for content in sorted(self._told - blocked)
         ]
--- a/src/hickorylead/crashes/contents.py
+++ b/src/hickorylead/crashes/request_hash.py
@@ -13,7 +13,7 @@
 _HASH_BYTES = 8
 
 
-def hash_content(workspace: str, parts: Iterable[bytes]) -> int:
+def hash_request(workspace: str, parts: Iterable[bytes]) -> int:
     """Returns a hash of what a caller asks for, the same for each submission.
 
     A submission's own id, its deadline and the event that it goes on after
@@ -31,6 +31,6 @@
     return int.from_bytes(digest.digest()) >> 1
 
 
-def write_content(content: int) -> str:
+def format_request_hash(content: int) -> str:
     """Returns a hash as logs write it."""
     return f"{content:016x}"
--- a/src/hickorylead/fleet/descriptions.py
+++ b/src/hickorylead/fleet/descriptions.py
@@ -36,10 +36,10 @@
 
 
 def describe_order(
-    item: orders.Give | orders.AskReport,
+    item: orders.SendOrder | orders.RequestReport,
 ) -> list[notes.Note]:
     """Returns the lines about an order; questions have none."""
-    if isinstance(item, orders.AskReport):
+    if isinstance(item, orders.RequestReport):
         return []
     fields = attrs.asdict(item.order)
     return [
--- a/src/hickorylead/fleet/differences.py
+++ b/src/hickorylead/fleet/divergence.py
@@ -17,25 +17,27 @@
     told_at: float = -1e9
 
 
-class Differences:
+class DivergenceDetector:
     """Nodes whose hash is not ours, by name."""
 
     def __init__(self) -> None:
         """Makes a view in which nobody differs."""
         self._found: dict[str, _Difference] = {}
 
-    def forget(self, node: str) -> None:
+    def clear(self, node: str) -> None:
         """Takes that a node is told what it lacks in another way."""
         self._found.pop(node, None)
 
-    def differs(self, node: str, theirs: int, ours: int, now: float) -> bool:
+    def needs_full_sync(
+        self, node: str, theirs: int, ours: int, now: float
+    ) -> bool:
         """Says whether a node must be told everything anew.
 
         A message that was lost would leave it wrong for ever; the hash shows
         it, whatever was lost.
         """
         if theirs == ours:
-            self.forget(node)
+            self.clear(node)
             return False
         found = self._found.get(node)
         if found is None:
--- a/src/hickorylead/fleet/events.py
+++ b/src/hickorylead/fleet/events.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class ReplaceAsked:
+class ReplaceRequested:
     """Event: an operator sent a whole configuration, already checked.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class ReadAsked:
+class ReadRequested:
     """Event: an operator asked for the newest configuration."""
 
     token: str
--- a/src/hickorylead/fleet/suspects.py
+++ b/src/hickorylead/fleet/failure_detector.py
@@ -16,13 +16,13 @@
 # second goes to the next control node.
 SILENCE_PERIODS = 1.5
 # A question that got no answer is put again after this, in seconds.
-ASK_PERIOD_S = 0.7
+PROBE_INTERVAL_S = 0.7
 # One that answered is not suspected again for this long, in seconds.
 CLEARED_S = 1.0
 # A replica that gave something to a gateway within this time is not dead,
 # whatever control nodes hear of it, in seconds: a report period of a gateway
 # and the longest pass of a replica that works.
-FLOW_S = 0.45
+OUTPUT_TIMEOUT_S = 0.45
 
 
 @attrs.define
@@ -33,7 +33,7 @@
     answered_at: float = -1e9
 
 
-class Suspects:
+class FailureDetector:
     """Backend servers that may be dead.
 
     A server that is silent, or whose replica gives nothing any more, is asked
@@ -53,7 +53,7 @@
         self._cleared: dict[str, float] = {}
         self._flows: dict[str, float] = {}
 
-    def suspect(
+    def add_suspects(
         self, members: Iterable[instances.Instance], now: float
     ) -> list[instances.Instance]:
         """Notes suspects; returns those that are to be asked now."""
@@ -67,12 +67,12 @@
                     continue
                 self._suspicions[member.name] = _Suspicion(now, now)
                 asked.append(member)
-            elif now - found.asked_at >= ASK_PERIOD_S:
+            elif now - found.asked_at >= PROBE_INTERVAL_S:
                 found.asked_at = now
                 asked.append(member)
         return asked
 
-    def take_report(self, name: str, *, answered: bool, now: float) -> None:
+    def handle_report(self, name: str, *, answered: bool, now: float) -> None:
         """Takes whether a server answered the question for its state."""
         found = self._suspicions.get(name)
         if found is None:
@@ -83,11 +83,11 @@
         else:
             found.unanswered += 1
 
-    def clear(self, name: str) -> None:
+    def clear_suspicion(self, name: str) -> None:
         """Takes a heartbeat of a server: it lives."""
         self._suspicions.pop(name, None)
 
-    def note_flow(self, head: str, now: float) -> None:
+    def record_output(self, head: str, now: float) -> None:
         """Takes that a gateway got something from a replica at a time."""
         self._flows[head] = max(now, self._flows.get(head, now))
 
@@ -95,7 +95,9 @@
         self, registry: registry_module.Registry, now: float
     ) -> frozenset[str]:
         """Returns the servers that are taken for dead."""
-        self._flows = {h: t for h, t in self._flows.items() if now - t < FLOW_S}
+        self._flows = {
+            h: t for h, t in self._flows.items() if now - t < OUTPUT_TIMEOUT_S
+        }
         flowing = set()
         for head in self._flows:
             instance = registry.instances.get(head)
--- a/src/hickorylead/fleet/gateways.py
+++ b/src/hickorylead/fleet/gateways.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hickorylead.fleet import differences, messages
+from hickorylead.fleet import divergence, messages
 from hickorylead.roles import nodes
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
         """
         self._zone = zone
         self._gateways: dict[str, _Gateway] = {}
-        self._differences = differences.Differences()
+        self._differences = divergence.DivergenceDetector()
         self._next_loads = 0.0
 
     def list_all(self, now: float) -> list[str]:
@@ -68,7 +68,7 @@
             if now - gateway.heard_at <= FORGET_S
         ]
 
-    def list_own(self, now: float) -> list[str]:
+    def list_homed(self, now: float) -> list[str]:
         """Returns those that count on this coordinator first."""
         return [n for n in self.list_all(now) if self._gateways[n].is_home]
 
@@ -80,7 +80,7 @@
         gateway = self._gateways.get(node)
         return gateway is not None and gateway.boot == boot and gateway.is_home
 
-    def hear(
+    def handle_hello(
         self,
         hello: messages.GatewayHello,
         *,
@@ -124,7 +124,7 @@
             gateway.told = known.nodes
         has_turned_here = hello.is_home and not before.is_home
         if has_turned_here:
-            lacks_news = hello.check != registry.check
+            lacks_news = hello.check != registry.digest
         else:
             lacks_news = self._lacks_news(hello, registry, now)
         if lacks_news:
@@ -141,12 +141,12 @@
         now: float,
     ) -> bool:
         """Says whether a gateway is told everything; its home does that."""
-        if not hello.is_home or registry.had_check(hello.check, now):
+        if not hello.is_home or registry.had_digest(hello.check, now):
             # What it lacks is on its way, or another one sends it.
-            self._differences.forget(hello.node)
+            self._differences.clear(hello.node)
             return False
-        return self._differences.differs(
-            hello.node, hello.check, registry.check, now
+        return self._differences.needs_full_sync(
+            hello.node, hello.check, registry.digest, now
         )
 
     def needs_document(self, node: str, version: int, now: float) -> bool:
@@ -172,25 +172,25 @@
             return True
         return False
 
-    def note_document(self, nodes_sent: list[str], now: float) -> None:
+    def record_document_sent(self, nodes_sent: list[str], now: float) -> None:
         """Takes that gateways were sent a configuration without asking."""
         for node in nodes_sent:
             self._gateways[node].sent_document_at = now
 
     def tick(
-        self, *, is_fresh: bool, elsewhere: int, now: float
+        self, *, is_fresh: bool, homed_elsewhere: int, now: float
     ) -> list[tuple[str, messages.Message]]:
         """Returns the loads of the zone, when they are due.
 
         Args:
             is_fresh: Whether the configuration held here is surely recent.
-            elsewhere: Gateways that have another home.
+            homed_elsewhere: Gateways that have another home.
             now: Present time.
         """
         if now < self._next_loads:
             return []
         self._next_loads = now + LOADS_PERIOD_S
-        own = self.list_own(now)
+        own = self.list_homed(now)
         if not own:
             return []
         totals: collections.Counter[str] = collections.Counter()
@@ -202,6 +202,9 @@
             for head, running in sorted(totals.items())
         )
         message = messages.ZoneLoads(
-            nodes.get_zone(self._zone), loads, is_fresh, len(own) + elsewhere
+            nodes.get_zone(self._zone),
+            loads,
+            is_fresh,
+            len(own) + homed_elsewhere,
         )
         return [(name, message) for name in own]
--- a/src/hickorylead/fleet/former.py
+++ b/src/hickorylead/fleet/group_builder.py
@@ -16,8 +16,8 @@
     groups as groups_module,
     instances,
     layout as layout_module,
-    ledger as ledger_module,
     loads,
+    order_tracker as order_tracker_module,
     orders,
     standbys,
 )
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Policy:
+class StandbyPolicy:
     """The trade between group downtime and stranded accelerators.
 
     Attributes:
@@ -66,7 +66,7 @@
 
 
 @attrs.define
-class Domain:
+class DomainView:
     """One domain in one round.
 
     Attributes:
@@ -79,7 +79,7 @@
         leaving: Living servers of groups that end.
     """
 
-    engine: document_module.Engine
+    engine: document_module.EngineProfile
     present: dict[str, instances.Instance]
     living: list[instances.Instance]
     supply: dict[str, float]
@@ -113,16 +113,16 @@
         return self._highest
 
 
-class Former:
+class GroupBuilder:
     """Forms groups of free servers, and keeps standbys."""
 
     def __init__(
         self,
         *,
         epochs: Epochs,
-        policy: Policy,
-        life: str,
-        ledger: ledger_module.Ledger,
+        policy: StandbyPolicy,
+        start_id: str,
+        ledger: order_tracker_module.OrderTracker,
         standbys_book: standbys.Standbys,
     ) -> None:
         """Makes a former that has formed nothing.
@@ -130,36 +130,36 @@
         Args:
             epochs: Fencing numbers.
             policy: The trade that the operators chose.
-            life: Tells the planner's lives apart; a part of group names.
+            start_id: Tells the planner's lives apart; a part of group names.
             ledger: Orders that were given.
             standbys_book: What is known of free servers.
         """
         self.forming: dict[GroupKey, Forming] = {}
         self._epochs = epochs
         self._policy = policy
-        self._life = life
+        self._life = start_id
         self._ledger = ledger
         self._standbys = standbys_book
         self._loads = loads.LoadBudget()
         self._now = 0.0
         self._is_started = False
 
-    def open(self, *, is_started: bool, now: float) -> None:
+    def begin_round(self, *, is_started: bool, now: float) -> None:
         """Begins a round."""
         self._now = now
         self._is_started = is_started
 
     def open_loads(
         self,
-        engine: document_module.Engine,
+        engine: document_module.EngineProfile,
         *,
         planners: int,
-        under_way: loads.UnderWay,
+        under_way: loads.LoadsInProgress,
     ) -> None:
         """Begins a service: what may be loaded from its store now."""
         if self._is_started:
-            self._loads.open(
-                engine, planners=planners, under_way=under_way, now=self._now
+            self._loads.begin_round(
+                engine, planners=planners, in_progress=under_way, now=self._now
             )
         else:
             self._loads.lift()
@@ -167,10 +167,12 @@
     def start_loads(self) -> None:
         """Ends a service: starts the loads that are needed most."""
         for wish in self._loads.grant():
-            if self._ledger.give(wish.instance, orders.Stage(wish.model)):
+            if self._ledger.issue_order(
+                wish.instance, orders.Stage(wish.model)
+            ):
                 self._loads.spend(self._now)
 
-    def use_free(self, domain: Domain) -> list[groups_module.Group]:
+    def use_free(self, domain: DomainView) -> list[groups_module.Group]:
         """Uses the free servers of a domain.
 
         Returns:
@@ -206,9 +208,9 @@
 
     def _form_or_prepare(
         self,
-        domain: Domain,
+        domain: DomainView,
         layout: collections.Counter[str],
-        figures: document_module.ModelFigures,
+        figures: document_module.ModelProfile,
         free: list[instances.Instance],
         retired: list[groups_module.Group],
     ) -> list[instances.Instance]:
@@ -234,7 +236,9 @@
             return free
         cold = self._list_cold(together, figures.name)
         for instance in cold:
-            self._wish(instance, figures.name, loads.Need.GROUP, len(cold))
+            self._wish(
+                instance, figures.name, loads.LoadPriority.GROUP, len(cold)
+            )
         if cold:
             # Who is free serves something else meanwhile.
             return free
@@ -249,9 +253,9 @@
 
     def _find_victims(
         self,
-        domain: Domain,
+        domain: DomainView,
         layout: collections.Counter[str],
-        figures: document_module.ModelFigures,
+        figures: document_module.ModelProfile,
         lacking: int,
     ) -> list[groups_module.Group]:
         """Returns groups beyond the layout whose servers would be enough.
@@ -275,7 +279,7 @@
         return victims
 
     def _fill_in(
-        self, domain: Domain, free: list[instances.Instance]
+        self, domain: DomainView, free: list[instances.Instance]
     ) -> list[instances.Instance]:
         """Forms groups beyond the layout of servers that would stand idle.
 
@@ -312,23 +316,23 @@
     def _form(
         self,
         chosen: list[instances.Instance],
-        figures: document_module.ModelFigures,
+        figures: document_module.ModelProfile,
     ) -> None:
         epoch = self._epochs.make()
         name = f"g{epoch}-{self._life}"
         members = tuple(i.name for i in chosen)
         cold = self._list_cold(chosen, figures.name)
-        limit_s = figures.load_s if cold else figures.warm_s
+        limit_s = figures.load_s if cold else figures.staged_load_s
         self.forming[name, epoch] = Forming(
             figures.name, members, self._now, limit_s + FORM_SLACK_S
         )
         for instance in chosen:
-            self._ledger.give(
+            self._ledger.issue_order(
                 instance, orders.Join(name, epoch, figures.name, members)
             )
 
     def _prepare_standbys(
-        self, domain: Domain, free: list[instances.Instance]
+        self, domain: DomainView, free: list[instances.Instance]
     ) -> None:
         """Lets standbys hold weights, so that they can stand in at once."""
         held: collections.Counter[str] = collections.Counter(
@@ -346,9 +350,9 @@
                 continue
             model = standbys.choose_model(domain.engine, domain.serving, held)
             held[model] += 1
-            self._wish(instance, model, loads.Need.STANDBY)
+            self._wish(instance, model, loads.LoadPriority.STANDBY)
 
-    def _stage_beside(self, domain: Domain) -> None:
+    def _stage_beside(self, domain: DomainView) -> None:
         """Lets servers stage another model than the one in their memory.
 
         A load takes 12 to 16 s, in which a domain loses more servers. One that
@@ -366,17 +370,19 @@
                 continue
             other = standbys.choose_other(domain.engine, warm)
             if other and other not in instance.staged:
-                self._wish(instance, other, loads.Need.BESIDE)
+                self._wish(instance, other, loads.LoadPriority.SECONDARY)
 
     def _wish(
         self,
         instance: instances.Instance,
         model: str,
-        need: loads.Need,
+        need: loads.LoadPriority,
         missing: int = 0,
     ) -> None:
         if not self._ledger.is_staging(instance):
-            self._loads.wish(loads.Wish(instance, model, need, missing))
+            self._loads.request(
+                loads.LoadRequest(instance, model, need, missing)
+            )
 
     def _warm_up(self, instance: instances.Instance, model: str) -> None:
         """Brings staged weights into memory, in a group of one.
@@ -388,6 +394,6 @@
             return
         epoch = self._epochs.make()
         name = f"{WARM_UP_PREFIX}{epoch}-{self._life}"
-        self._ledger.give(
+        self._ledger.issue_order(
             instance, orders.Join(name, epoch, model, (instance.name,))
         )
--- a/src/hickorylead/fleet/groups.py
+++ b/src/hickorylead/fleet/groups.py
@@ -71,7 +71,7 @@
     )
 
 
-def may_serve(group: Group, figures: document_module.ModelFigures) -> bool:
+def may_serve(group: Group, figures: document_module.ModelProfile) -> bool:
     """Says whether new requests may be sent to the head of a group."""
     head = group.head
     return (
--- a/src/hickorylead/fleet/identity.py
+++ b/src/hickorylead/fleet/identity.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from hickorylead.fleet import former
+from hickorylead.fleet import group_builder
 
 
 @attrs.frozen
@@ -16,7 +16,7 @@
         address: `ip:port` for its peers.
         incarnation: Name of the data folder's present life.
         seeds: Addresses of a few control nodes, for their peers.
-        may_found: Whether the whole system starts for the first time.
+        may_bootstrap: Whether the whole system starts for the first time.
         heartbeat_s: Pause between heartbeats of backend servers, in seconds.
         zones: All availability zones.
     """
@@ -25,7 +25,7 @@
     address: str
     incarnation: str
     seeds: tuple[str, ...]
-    may_found: bool
+    may_bootstrap: bool
     heartbeat_s: float
     zones: tuple[str, ...]
 
@@ -34,5 +34,5 @@
     """Returns a number for a node's epochs, below `EPOCH_STEP`."""
     total = 0
     for byte in node.encode():
-        total = (total * 31 + byte) % former.EPOCH_STEP
+        total = (total * 31 + byte) % group_builder.EPOCH_STEP
     return total
--- a/src/hickorylead/fleet/layout.py
+++ b/src/hickorylead/fleet/layout.py
@@ -17,7 +17,7 @@
 
 
 def measure_supply(
-    engine: document_module.Engine,
+    engine: document_module.EngineProfile,
     serving_vms: Mapping[str, int],
     alive: int,
     spare_share: float,
@@ -32,13 +32,14 @@
     """
     usable = max(1.0, alive * (1.0 - spare_share))
     return {
-        m.name: serving_vms.get(m.name, 0) / (usable * max(m.share, 0.01))
+        m.name: serving_vms.get(m.name, 0)
+        / (usable * max(m.initial_vm_share, 0.01))
         for m in engine.models
     }
 
 
 def choose_layout(
-    engine: document_module.Engine,
+    engine: document_module.EngineProfile,
     *,
     alive: int,
     serving: Mapping[str, int],
@@ -65,7 +66,7 @@
         engine.models,
         key=lambda m: (
             supply[m.name] - (STAY_MARGIN if serving.get(m.name) else 0.0),
-            -m.share,
+            -m.initial_vm_share,
             m.name,
         ),
     )
@@ -81,7 +82,7 @@
         best = min(
             fitting,
             key=lambda m: (
-                layout[m.name] * m.group_size / max(m.share, 0.01),
+                layout[m.name] * m.group_size / max(m.initial_vm_share, 0.01),
                 m.name,
             ),
         )
--- a/src/hickorylead/fleet/loads.py
+++ b/src/hickorylead/fleet/loads.py
@@ -23,38 +23,38 @@
 BESIDE_SHARE = 0.33
 
 
-class Need(enum.IntEnum):
+class LoadPriority(enum.IntEnum):
     """What a load is for; the lowest goes first."""
 
     GROUP = 0
     STANDBY = 1
-    BESIDE = 2
+    SECONDARY = 2
 
 
 @attrs.frozen
-class Wish:
+class LoadRequest:
     """A load that would be of use.
 
     Attributes:
         instance: The server.
         model: What it should stage.
-        need: What for.
+        priority: What for.
         missing: Loads that its group still lacks, this one included.
     """
 
     instance: instances.Instance
     model: str
-    need: Need
+    priority: LoadPriority
     missing: int = 0
 
     @property
-    def rank(self) -> tuple[Need, int]:
+    def rank(self) -> tuple[LoadPriority, int]:
         """Its place among others; the lowest goes first."""
-        return self.need, self.missing
+        return self.priority, self.missing
 
 
 @attrs.frozen
-class UnderWay:
+class LoadsInProgress:
     """Loads from the store that go on.
 
     Attributes:
@@ -83,18 +83,18 @@
     def __init__(self) -> None:
         """Makes a budget of which nothing is spent."""
         self._started: collections.deque[float] = collections.deque()
-        self._wishes: dict[str, Wish] = {}
+        self._wishes: dict[str, LoadRequest] = {}
         self._room = 0
         self._own = 0
         self._at_once = math.inf
         self._most_beside = math.inf
 
-    def open(
+    def begin_round(
         self,
-        engine: document_module.Engine,
+        engine: document_module.EngineProfile,
         *,
         planners: int,
-        under_way: UnderWay,
+        in_progress: LoadsInProgress,
         now: float,
     ) -> None:
         """Begins a round.
@@ -102,25 +102,27 @@
         Args:
             engine: Figures of the service's engines.
             planners: Control nodes that share the store, heard or not.
-            under_way: Loads that go on.
+            in_progress: Loads that go on.
             now: Present time.
         """
         self._wishes = {}
-        self._own = under_way.own
+        self._own = in_progress.own
         while self._started and now - self._started[0] > WINDOW_S:
             self._started.popleft()
         planners = max(1, planners)
-        allowed = max(1, int(engine.loads_per_s * WINDOW_S / planners))
+        allowed = max(
+            1, int(engine.max_load_starts_per_s * WINDOW_S / planners)
+        )
         self._room = allowed - len(self._started)
-        if engine.loads_at_once:
+        if engine.max_concurrent_loads:
             # What others leave, and an equal part whatever they have: one that
             # is cut off must not wait for their loads.
-            part = math.ceil(engine.loads_at_once / planners)
+            part = math.ceil(engine.max_concurrent_loads / planners)
             self._at_once = max(
-                part, engine.loads_at_once - under_way.elsewhere
+                part, engine.max_concurrent_loads - in_progress.elsewhere
             )
-            few = math.ceil(BESIDE_SHARE * engine.loads_at_once)
-            self._most_beside = few - under_way.elsewhere
+            few = math.ceil(BESIDE_SHARE * engine.max_concurrent_loads)
+            self._most_beside = few - in_progress.elsewhere
         else:
             self._at_once = self._most_beside = math.inf
 
@@ -130,7 +132,7 @@
         self._room = 1_000_000
         self._at_once = self._most_beside = math.inf
 
-    def wish(self, wish: Wish) -> None:
+    def request(self, wish: LoadRequest) -> None:
         """Takes a load that would be of use; the best for a server counts.
 
         An empty server could complete a group of four or one of two. While
@@ -140,15 +142,15 @@
         if known is None or wish.rank < known.rank:
             self._wishes[wish.instance.name] = wish
 
-    def grant(self) -> list[Wish]:
+    def grant(self) -> list[LoadRequest]:
         """Returns the loads that are to be started now, most needed first."""
-        granted: list[Wish] = []
+        granted: list[LoadRequest] = []
         ordered = sorted(
             self._wishes.values(),
             key=lambda w: (w.rank, w.instance.name),
         )
         for wish in ordered:
-            is_beside = wish.need is Need.BESIDE
+            is_beside = wish.priority is LoadPriority.SECONDARY
             most = self._most_beside if is_beside else self._at_once
             if len(granted) >= self._room or self._own + len(granted) >= most:
                 break
--- a/src/hickorylead/fleet/ledger.py
+++ b/src/hickorylead/fleet/order_tracker.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-Effect: TypeAlias = orders.Give | orders.AskReport
+Effect: TypeAlias = orders.SendOrder | orders.RequestReport
 
 # An order that was not answered is given again after this, in seconds: above
 # the time-out of an order (0.4 s).
@@ -35,7 +35,7 @@
 EFFECT_WAIT_S = 1.6
 # A question for a server's state is put again after this, in seconds; what it
 # answers is about 0.25 s old, so an earlier one would show no news.
-ASK_PERIOD_S = 0.3
+PROBE_INTERVAL_S = 0.3
 
 
 # An order to stage that was not answered is given again after this, in seconds:
@@ -78,7 +78,7 @@
     heartbeat: int = -1
 
 
-class Ledger:
+class OrderTracker:
     """Orders of one planner, by server."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         self._effects: list[Effect] = []
         self._now = 0.0
 
-    def open(
+    def begin_round(
         self,
         everyone: Mapping[str, instances.Instance],
         now: float,
@@ -198,11 +198,11 @@
                 del self._reported[name]
                 self._contested.discard(name)
 
-    def close(self) -> list[Effect]:
+    def end_round(self) -> list[Effect]:
         """Ends a round; returns the orders given in it."""
         return self._effects
 
-    def take_answer(self, event: orders.OrderAnswered) -> None:
+    def handle_response(self, event: orders.OrderAnswered) -> None:
         """Takes the answer to an order."""
         pending = self._pending.get(event.name)
         if pending is None or pending.order != event.order:
@@ -226,7 +226,7 @@
                     self._loading[event.name] = self._now
             del self._pending[event.name]
 
-    def take_report(self, event: orders.ReportArrived) -> None:
+    def handle_report(self, event: orders.ReportArrived) -> None:
         """Takes how many orders a server says it has accepted."""
         if event.born != self._born.get(event.name, event.born):
             # Of another life than the one that is planned for.
@@ -245,7 +245,9 @@
         group = (event.member.group, event.member.epoch)
         self._reported[event.name] = _Report(event.accepted, group)
 
-    def give(self, instance: instances.Instance, order: orders.Order) -> bool:
+    def issue_order(
+        self, instance: instances.Instance, order: orders.Order
+    ) -> bool:
         """Gives an order unless it is under way or the server is stale.
 
         Returns:
@@ -282,7 +284,7 @@
             else None
         )
         self._effects.append(
-            orders.Give(instance.name, instance.address, order, expected)
+            orders.SendOrder(instance.name, instance.address, order, expected)
         )
         return True
 
@@ -336,10 +338,12 @@
         )
 
     def _ask(self, instance: instances.Instance) -> None:
-        if self._now - self._asked.get(instance.name, -1e9) < ASK_PERIOD_S:
+        if self._now - self._asked.get(instance.name, -1e9) < PROBE_INTERVAL_S:
             return
         self._asked[instance.name] = self._now
-        self._effects.append(orders.AskReport(instance.name, instance.address))
+        self._effects.append(
+            orders.RequestReport(instance.name, instance.address)
+        )
 
     def _count(self, name: str) -> None:
         self._accepted[name] = self._accepted.get(name, 0) + 1
--- a/src/hickorylead/fleet/orders.py
+++ b/src/hickorylead/fleet/orders.py
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class Give:
+class SendOrder:
     """Effect: give an order to a server.
 
     Attributes:
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen
-class AskReport:
+class RequestReport:
     """Effect: ask a server how many orders it has accepted, and its state."""
 
     name: str
--- a/src/hickorylead/fleet/neighbours.py
+++ b/src/hickorylead/fleet/peer_directory.py
@@ -18,13 +18,13 @@
 HELLO_PERIOD_S = 0.3
 # One that was not heard for this long is taken for lost, in seconds: four
 # greetings, above the pauses of a loop that syncs to a slow disk.
-SILENCE_S = 1.3
+PEER_TIMEOUT_S = 1.3
 # One that was not heard for this long is forgotten, in seconds.
 FORGET_S = 60.0
 
 
 @attrs.define
-class Neighbour:
+class Peer:
     """One other control node.
 
     Attributes:
@@ -32,7 +32,7 @@
         heard_at: When it was last heard.
         incarnation: Member that it is in the configuration log.
         is_empty: Whether it belongs to no cluster.
-        check: Hash over the instances that it knows.
+        digest: Hash over the instances that it knows.
         gateways: Gateways whose home it is.
     """
 
@@ -40,11 +40,11 @@
     heard_at: float
     incarnation: str = ""
     is_empty: bool = False
-    check: int = 0
+    digest: int = 0
     gateways: int = 0
 
 
-class Neighbours:
+class PeerDirectory:
     """All other control nodes."""
 
     def __init__(self, *, node: str, seeds: Iterable[str]) -> None:
@@ -56,27 +56,27 @@
         """
         self._node = node
         self.seeds = tuple(seeds)
-        self.known: dict[str, Neighbour] = {}
+        self.known: dict[str, Peer] = {}
 
-    def hear(self, hello: messages.CoordinatorHello, now: float) -> None:
+    def handle_hello(
+        self, hello: messages.CoordinatorHello, now: float
+    ) -> None:
         """Takes a greeting, and whom the other one knows."""
         if hello.node == self._node:
             return
-        neighbour = self.known.setdefault(
-            hello.node, Neighbour(hello.address, now)
-        )
+        neighbour = self.known.setdefault(hello.node, Peer(hello.address, now))
         neighbour.address = hello.address
         neighbour.heard_at = now
         neighbour.incarnation = hello.incarnation
         neighbour.is_empty = hello.is_empty
-        neighbour.check = hello.check
+        neighbour.digest = hello.check
         neighbour.gateways = hello.gateways
         for node, address in zip(hello.nodes, hello.addresses, strict=False):
             if node not in self.known and node != self._node:
                 # Told by another one only: greeted, but not alive yet.
-                self.known[node] = Neighbour(address, now - SILENCE_S)
+                self.known[node] = Peer(address, now - PEER_TIMEOUT_S)
 
-    def forget_old(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drops those that were not heard for long."""
         for node, neighbour in list(self.known.items()):
             if now - neighbour.heard_at > FORGET_S:
@@ -87,7 +87,7 @@
         return sorted(
             node
             for node, neighbour in self.known.items()
-            if now - neighbour.heard_at <= SILENCE_S
+            if now - neighbour.heard_at <= PEER_TIMEOUT_S
         )
 
     def list_homes(self, now: float) -> list[str]:
@@ -98,7 +98,7 @@
         """Returns how many gateways the others are home to."""
         return sum(self.known[n].gateways for n in self.list_alive(now))
 
-    def list_targets(self) -> list[str]:
+    def list_hello_targets(self) -> list[str]:
         """Returns whom to greet: nodes by name, those not heard by address.
 
         Connections know the way to a name from that node's own messages alone.
@@ -112,7 +112,7 @@
         ]
         return [*known, *unknown]
 
-    def find_in_charge(self, zone: str, domain: str, now: float) -> str:
+    def find_owner(self, zone: str, domain: str, now: float) -> str:
         """Returns the control node that plans a domain.
 
         One of the domain's own zone does, if any is alive: it still reaches
--- a/src/hickorylead/fleet/planner.py
+++ b/src/hickorylead/fleet/planner.py
@@ -19,12 +19,12 @@
 from typing import TYPE_CHECKING
 
 from hickorylead.fleet import (
-    former as former_module,
+    group_builder as group_builder_module,
     groups as groups_module,
     instances,
     layout as layout_module,
-    ledger as ledger_module,
     loads,
+    order_tracker as order_tracker_module,
     orders,
     standbys,
 )
@@ -43,32 +43,36 @@
     """Groups of the domains that one control node is in charge of."""
 
     def __init__(
-        self, *, number: int, policy: former_module.Policy, life: str
+        self,
+        *,
+        number: int,
+        policy: group_builder_module.StandbyPolicy,
+        start_id: str,
     ) -> None:
         """Makes a planner that has given no orders.
 
         Args:
             number: This planner's own number, below `EPOCH_STEP`.
             policy: The trade that the operators chose.
-            life: Tells its lives apart; a part of all names that it gives.
+            start_id: Tells its lives apart; a part of all names that it gives.
         """
         self._policy = policy
-        self._ledger = ledger_module.Ledger()
+        self._ledger = order_tracker_module.OrderTracker()
         self._standbys = standbys.Standbys()
-        self._epochs = former_module.Epochs(number)
-        self._former = former_module.Former(
+        self._epochs = group_builder_module.Epochs(number)
+        self._former = group_builder_module.GroupBuilder(
             epochs=self._epochs,
             policy=policy,
-            life=life,
+            start_id=start_id,
             ledger=self._ledger,
             standbys_book=self._standbys,
         )
         self._lost: frozenset[str] = frozenset()
         # Groups of this round; those that were whole once, and since when
         # the others are known.
-        self._found_keys: set[former_module.GroupKey] = set()
-        self._seen_whole: set[former_module.GroupKey] = set()
-        self._first_seen: dict[former_module.GroupKey, float] = {}
+        self._found_keys: set[group_builder_module.GroupKey] = set()
+        self._seen_whole: set[group_builder_module.GroupKey] = set()
+        self._first_seen: dict[group_builder_module.GroupKey, float] = {}
 
     def plan(
         self,
@@ -81,7 +85,7 @@
         planners: int,
         is_started: bool,
         now: float,
-    ) -> list[ledger_module.Effect]:
+    ) -> list[order_tracker_module.Effect]:
         """Returns the orders that the present state asks for.
 
         Args:
@@ -97,10 +101,10 @@
         """
         self._now = now
         self._lost = lost
-        self._former.open(is_started=is_started, now=now)
+        self._former.begin_round(is_started=is_started, now=now)
         everyone = {i.name: i for i in present}
         self._found_keys = set()
-        self._ledger.open(everyone, now, stale=stale)
+        self._ledger.begin_round(everyone, now, stale=stale)
         self._standbys.note(everyone.values(), now)
         for instance in everyone.values():
             self._epochs.note(instance.member.epoch)
@@ -113,15 +117,15 @@
             for key, at in self._first_seen.items()
             if key in self._found_keys
         }
-        return self._ledger.close()
+        return self._ledger.end_round()
 
-    def take_answer(self, event: orders.OrderAnswered) -> None:
+    def handle_response(self, event: orders.OrderAnswered) -> None:
         """Takes the answer to an order."""
-        self._ledger.take_answer(event)
+        self._ledger.handle_response(event)
 
-    def take_report(self, event: orders.ReportArrived) -> None:
+    def handle_report(self, event: orders.ReportArrived) -> None:
         """Takes how many orders a server says it has accepted."""
-        self._ledger.take_report(event)
+        self._ledger.handle_report(event)
 
     def _plan_service(
         self,
@@ -143,7 +147,7 @@
         self._former.open_loads(
             engine,
             planners=planners,
-            under_way=loads.UnderWay(own, len(loading) - own),
+            under_way=loads.LoadsInProgress(own, len(loading) - own),
         )
         mine = [i for i in everyone.values() if i.service == service.name]
         living = [i for i in mine if self._is_living(i)]
@@ -152,7 +156,9 @@
             for i in living
             if i.has_group
             and i.models
-            and not i.member.group.startswith(former_module.WARM_UP_PREFIX)
+            and not i.member.group.startswith(
+                group_builder_module.WARM_UP_PREFIX
+            )
         )
         supply = layout_module.measure_supply(
             engine, serving_vms, len(living), self._policy.spare_share
@@ -166,7 +172,9 @@
         for _, present in sorted(by_domain.items()):
             living_here = [i for i in present.values() if self._is_living(i)]
             self._plan_domain(
-                former_module.Domain(engine, present, living_here, supply)
+                group_builder_module.DomainView(
+                    engine, present, living_here, supply
+                )
             )
         self._former.start_loads()
 
@@ -176,21 +184,24 @@
             and instance.name not in self._lost
         )
 
-    def _plan_domain(self, domain: former_module.Domain) -> None:
+    def _plan_domain(self, domain: group_builder_module.DomainView) -> None:
         found = groups_module.collect_groups(domain.present.values())
         self._found_keys.update(found)
         for key, group in sorted(found.items()):
             if self._look_after(key, group, domain):
                 domain.serving[self._find_model(key, group)] += 1
                 domain.groups.append(group)
-            elif not group.name.startswith(former_module.WARM_UP_PREFIX):
+            elif not group.name.startswith(group_builder_module.WARM_UP_PREFIX):
                 domain.leaving += [
                     m for m in group.members.values() if self._is_living(m)
                 ]
         for key, forming in list(self._former.forming.items()):
             if key in found or forming.members[0] not in domain.present:
                 continue
-            if self._now - forming.began_at > ledger_module.EFFECT_WAIT_S:
+            if (
+                self._now - forming.began_at
+                > order_tracker_module.EFFECT_WAIT_S
+            ):
                 del self._former.forming[key]
                 continue
             domain.serving[forming.model] += 1
@@ -201,19 +212,19 @@
     # Groups that there are.
 
     def _find_model(
-        self, key: former_module.GroupKey, group: groups_module.Group
+        self, key: group_builder_module.GroupKey, group: groups_module.Group
     ) -> str:
         forming = self._former.forming.get(key)
         return forming.model if forming else group.model
 
     def _look_after(
         self,
-        key: former_module.GroupKey,
+        key: group_builder_module.GroupKey,
         group: groups_module.Group,
-        domain: former_module.Domain,
+        domain: group_builder_module.DomainView,
     ) -> bool:
         """Opens, keeps or takes apart a group; says whether it will serve."""
-        if group.name.startswith(former_module.WARM_UP_PREFIX):
+        if group.name.startswith(group_builder_module.WARM_UP_PREFIX):
             self._end_warm_up(group)
             return False
         forming = self._former.forming.get(key)
@@ -243,7 +254,7 @@
         self._seen_whole.add(key)
         return self._advance(key, group, figures)
 
-    def _may_be_whole(self, key: former_module.GroupKey) -> bool:
+    def _may_be_whole(self, key: group_builder_module.GroupKey) -> bool:
         """Says whether members may just not have been heard yet.
 
         A planner that has just started hears servers one by one. To take the
@@ -255,9 +266,9 @@
 
     def _advance(
         self,
-        key: former_module.GroupKey,
+        key: group_builder_module.GroupKey,
         group: groups_module.Group,
-        figures: document_module.ModelFigures,
+        figures: document_module.ModelProfile,
     ) -> bool:
         """Opens a group once all its members are ready."""
         head = group.head
@@ -273,24 +284,24 @@
         forming = self._former.forming.get(key)
         if forming is None:
             # Another planner formed it; it has as long as any load takes.
-            self._former.forming[key] = former_module.Forming(
+            self._former.forming[key] = group_builder_module.Forming(
                 figures.name,
                 tuple(m.name for _, m in sorted(group.members.items())),
                 self._now,
-                figures.load_s + former_module.FORM_SLACK_S,
+                figures.load_s + group_builder_module.FORM_SLACK_S,
             )
         elif self._now - forming.began_at > forming.limit_s:
             self._take_apart(group)
             return False
         if groups_module.is_complete(group, figures.group_size):
-            self._ledger.give(head, orders.Open(group.name, group.epoch))
+            self._ledger.issue_order(head, orders.Open(group.name, group.epoch))
         return True
 
     def _join_missing(
         self,
-        key: former_module.GroupKey,
-        forming: former_module.Forming,
-        domain: former_module.Domain,
+        key: group_builder_module.GroupKey,
+        forming: group_builder_module.Forming,
+        domain: group_builder_module.DomainView,
     ) -> bool:
         """Orders members again that have not joined; says whether they can."""
         order = orders.Join(key[0], key[1], forming.model, forming.members)
@@ -299,7 +310,7 @@
             if member is None or name in self._lost:
                 return False
             if not member.has_group:
-                self._ledger.give(member, order)
+                self._ledger.issue_order(member, order)
             elif (member.member.group, member.member.epoch) != key:
                 return False
         return True
@@ -315,14 +326,16 @@
         if head is not None and head.name not in self._lost:
             if head.member.state == instances.GROUP_OPEN:
                 close = orders.Close(group.name, group.epoch, cut=True)
-                self._ledger.give(head, close)
+                self._ledger.issue_order(head, close)
             elif head.member.state != instances.GROUP_CLOSING:
-                self._ledger.give(head, orders.Leave(group.name, group.epoch))
+                self._ledger.issue_order(
+                    head, orders.Leave(group.name, group.epoch)
+                )
             return
         for member in group.members.values():
             if member.name not in self._lost:
                 leave = orders.Leave(group.name, group.epoch)
-                self._ledger.give(member, leave)
+                self._ledger.issue_order(member, leave)
 
     def _retire(self, group: groups_module.Group) -> None:
         """Ends a group after the work that it has."""
@@ -333,7 +346,7 @@
         match head.member.state:
             case instances.GROUP_OPEN:
                 close = orders.Close(group.name, group.epoch, cut=False)
-                self._ledger.give(head, close)
+                self._ledger.issue_order(head, close)
             case instances.GROUP_CLOSING:
                 pass
             case _:
@@ -347,4 +360,6 @@
             and head.name not in self._lost
             and head.member.state != instances.GROUP_JOINING
         ):
-            self._ledger.give(head, orders.Leave(group.name, group.epoch))
+            self._ledger.issue_order(
+                head, orders.Leave(group.name, group.epoch)
+            )
--- a/src/hickorylead/fleet/registry.py
+++ b/src/hickorylead/fleet/registry.py
@@ -36,7 +36,7 @@
         self.instances: dict[str, instances.Instance] = {}
         self.heard_at: dict[str, float] = {}
         # Number of the heartbeat that last told something new.
-        self.changed_at: dict[str, int] = {}
+        self.changed_sequences: dict[str, int] = {}
         # Servers known from the disk that were not heard yet, since when.
         self._recalled: dict[str, float] = {}
         # Counts what changed, so that others can tell cheaply.
@@ -47,11 +47,11 @@
         self._former: collections.deque[tuple[float, int]] = collections.deque()
 
     @property
-    def check(self) -> int:
+    def digest(self) -> int:
         """A hash over all instances, the same at nodes that know the same."""
         return self._check
 
-    def had_check(self, check: int, now: float) -> bool:
+    def had_digest(self, check: int, now: float) -> bool:
         """Says whether a hash is ours, or was until a moment ago."""
         while self._former and now - self._former[0][0] > CHECK_MEMORY_S:
             self._former.popleft()
@@ -70,7 +70,7 @@
             self._recalled.pop(news.name, None)
         changed = known is None or not instances.says_the_same(known, news)
         if changed:
-            self.changed_at[news.name] = news.sequence
+            self.changed_sequences[news.name] = news.sequence
         self.instances[news.name] = news
         if changed:
             self._note(news, now)
@@ -108,7 +108,7 @@
             self._note(self.instances[name], now)
         return revived
 
-    def recall(
+    def restore(
         self, remembered: Iterable[instances.Instance], now: float
     ) -> None:
         """Takes servers that were known before a restart.
@@ -181,7 +181,7 @@
             if now - self.heard_at.get(name, now) > silence_s
         )
 
-    def forget(self, now: float, silence_s: float) -> list[str]:
+    def prune(self, now: float, silence_s: float) -> list[str]:
         """Drops lives that ended or fell silent long ago; returns them."""
         dropped = []
         for name, instance in list(self.instances.items()):
@@ -194,7 +194,7 @@
                 dropped.append(name)
                 del self.instances[name]
                 self.heard_at.pop(name, None)
-                self.changed_at.pop(name, None)
+                self.changed_sequences.pop(name, None)
                 self._recalled.pop(name, None)
                 self._former.append((now, self._check))
                 self._check ^= self._checks.pop(name, 0)
--- a/src/hickorylead/fleet/dialect.py
+++ b/src/hickorylead/fleet/server_codec.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Call:
+class HttpCall:
     """An HTTP call to a backend server.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Report:
+class ServerReport:
     """What a server answers to the question for its state.
 
     Attributes:
@@ -58,19 +58,19 @@
     is_leaving: bool = False
 
 
-class ServerDialect(Protocol):
+class ServerCodec(Protocol):
     """Names and formats between coordinators and backend servers."""
 
-    def write_order(self, give: orders.Give) -> Call:
+    def encode_order(self, give: orders.SendOrder) -> HttpCall:
         """Returns the call that gives an order."""
 
-    def write_report_question(self) -> Call:
+    def encode_report_request(self) -> HttpCall:
         """Returns the call that asks for a server's state."""
 
-    def read_report(self, body: bytes) -> Report | None:
+    def decode_report(self, body: bytes) -> ServerReport | None:
         """Returns what a server tells of its state; None if unreadable."""
 
-    def read_notice(
+    def decode_notice(
         self, status: int, headers: Sequence[tuple[bytes, bytes]]
     ) -> Notice:
         """Returns what an answer says about calls to come."""
--- a/src/hickorylead/fleet/standbys.py
+++ b/src/hickorylead/fleet/standbys.py
@@ -59,7 +59,7 @@
         return sorted(free, key=lambda i: (self.rate(i, model), i.name))
 
 
-def choose_other(engine: document_module.Engine, warm: str) -> str:
+def choose_other(engine: document_module.EngineProfile, warm: str) -> str:
     """Returns what a server should stage beside the model in its memory.
 
     It is the other model with the greatest share; empty if there is none.
@@ -67,11 +67,11 @@
     others = [m for m in engine.models if m.name != warm]
     if not others:
         return ""
-    return max(others, key=lambda m: (m.share, m.name)).name
+    return max(others, key=lambda m: (m.initial_vm_share, m.name)).name
 
 
 def choose_model(
-    engine: document_module.Engine,
+    engine: document_module.EngineProfile,
     serving: Mapping[str, int],
     held: Mapping[str, int],
 ) -> str:
--- a/src/hickorylead/fleet/supervisor.py
+++ b/src/hickorylead/fleet/supervisor.py
@@ -8,12 +8,12 @@
 from hickorylead import notes
 from hickorylead.fleet import (
     descriptions,
-    former as former_module,
+    failure_detector as failure_detector_module,
+    group_builder as group_builder_module,
     identity as identity_module,
     instances,
     orders,
     planner as planner_module,
-    suspects as suspects_module,
 )
 from hickorylead.roles import nodes
 
@@ -22,7 +22,7 @@
 
     from hickorylead.configuration import document as document_module
     from hickorylead.fleet import (
-        neighbours as neighbours_module,
+        peer_directory as peer_directory_module,
         registry as registry_module,
     )
 
@@ -41,7 +41,7 @@
 # With what another node knows it has them after this, in seconds.
 TOLD_SETTLE_S = 0.2
 
-Effect: TypeAlias = orders.Give | orders.AskReport | notes.Note
+Effect: TypeAlias = orders.SendOrder | orders.RequestReport | notes.Note
 
 
 class Supervisor:
@@ -51,10 +51,10 @@
         self,
         identity: identity_module.Identity,
         *,
-        policy: former_module.Policy,
-        life: str,
+        policy: group_builder_module.StandbyPolicy,
+        start_id: str,
         registry: registry_module.Registry,
-        neighbours: neighbours_module.Neighbours,
+        peers: peer_directory_module.PeerDirectory,
         has_leader: Callable[[float], bool],
         now: float,
     ) -> None:
@@ -63,26 +63,28 @@
         Args:
             identity: The node.
             policy: The trade between downtime and stranded accelerators.
-            life: Tells the node's lives apart.
+            start_id: Tells the node's lives apart.
             registry: Backend servers that the node knows.
-            neighbours: Other control nodes.
+            peers: Other control nodes.
             has_leader: Says whether the node hears a leader.
             now: Present time.
         """
         self._identity = identity
         self._zone = nodes.get_zone(identity.node)
         self._registry = registry
-        self._neighbours = neighbours
+        self._neighbours = peers
         self._has_leader = has_leader
-        self._suspects = suspects_module.Suspects(identity.heartbeat_s)
+        self._suspects = failure_detector_module.FailureDetector(
+            identity.heartbeat_s
+        )
         self._planner = planner_module.Planner(
             number=identity_module.number_node(identity.node),
             policy=policy,
-            life=life,
+            start_id=start_id,
         )
-        self._is_started = not identity.may_found
+        self._is_started = not identity.may_bootstrap
         # A node that knows but some servers would form groups that there are.
-        settle_s = 0.0 if identity.may_found else SETTLE_PERIODS
+        settle_s = 0.0 if identity.may_bootstrap else SETTLE_PERIODS
         self._plans_from = now + settle_s * identity.heartbeat_s
         self._next_plan = now
         self._planned_at = -1e9
@@ -90,11 +92,11 @@
         self._pauses: dict[tuple[str, int], float] = {}
         self.services: tuple[document_module.Service, ...] | None = None
 
-    def knows_all(self, now: float) -> bool:
+    def has_full_view(self, now: float) -> bool:
         """Says whether it has had the time to hear all servers."""
         return now >= self._plans_from
 
-    def note_full_news(self, now: float) -> None:
+    def record_full_sync(self, now: float) -> None:
         """Takes that another node told all servers that it knows."""
         self._plans_from = min(self._plans_from, now + TOLD_SETTLE_S)
 
@@ -103,11 +105,11 @@
         """Says whether callers are served, as far as is known."""
         return self._is_started
 
-    def note_traffic(self) -> None:
+    def record_traffic(self) -> None:
         """Takes that callers are served: loads count from now on."""
         self._is_started = True
 
-    def pause(self, name: str, born: int, until: float) -> None:
+    def pause_calls(self, name: str, born: int, until: float) -> None:
         """Takes that a life of a server wants no call for some time."""
         before = self._pauses.get((name, born), until)
         self._pauses[name, born] = max(before, until)
@@ -122,20 +124,20 @@
         self, members: Iterable[instances.Instance], now: float
     ) -> list[Effect]:
         """Asks servers for their state; those that want no call are left."""
-        asked = self._suspects.suspect(
+        asked = self._suspects.add_suspects(
             [m for m in members if not self._is_paused(m.name, now)], now
         )
-        return [orders.AskReport(m.name, m.address) for m in asked]
+        return [orders.RequestReport(m.name, m.address) for m in asked]
 
     # Which servers are dead.
 
-    def clear(self, name: str) -> None:
+    def clear_suspicion(self, name: str) -> None:
         """Takes a sign of life of a server."""
-        self._suspects.clear(name)
+        self._suspects.clear_suspicion(name)
 
-    def note_flow(self, head: str, at: float) -> None:
+    def record_output(self, head: str, at: float) -> None:
         """Takes that a gateway got something from a replica at a time."""
-        self._suspects.note_flow(head, at)
+        self._suspects.record_output(head, at)
 
     def suspect_group(self, head: str, teller: str, now: float) -> list[Effect]:
         """Asks the members of a group that a gateway saw stop."""
@@ -165,7 +167,7 @@
                 asked=[
                     question.name
                     for question in asked
-                    if isinstance(question, orders.AskReport)
+                    if isinstance(question, orders.RequestReport)
                 ],
             ),
         ]
@@ -180,7 +182,7 @@
         mine = [i for i in found if i is not None and self._is_mine(i, now)]
         return self._ask(mine, now)
 
-    def ask_silent(self, now: float) -> list[Effect]:
+    def probe_silent(self, now: float) -> list[Effect]:
         """Asks servers whose heartbeats have been missed."""
         silent = self._registry.list_silent(self._suspects.silence_s, now)
         mine = [i for i in silent if self._is_mine(i, now)]
@@ -212,7 +214,7 @@
         """Returns the orders that the present state asks for."""
         self._next_plan = now + PLAN_PERIOD_S
         self._planned_at = now
-        if self.services is None or not self.knows_all(now):
+        if self.services is None or not self.has_full_view(now):
             return []
         present = self._registry.list_present()
         by_domain = collections.defaultdict(list)
@@ -246,9 +248,9 @@
             for effect in (item, *descriptions.describe_order(item))
         ]
 
-    def take_answer(self, event: orders.OrderAnswered) -> list[Effect]:
+    def handle_response(self, event: orders.OrderAnswered) -> list[Effect]:
         """Takes the answer to an order."""
-        self._planner.take_answer(event)
+        self._planner.handle_response(event)
         return [
             notes.note(
                 "order_answered",
@@ -259,13 +261,13 @@
             )
         ]
 
-    def take_report(
+    def handle_report(
         self, event: orders.ReportArrived, now: float
     ) -> list[Effect]:
         """Takes the answer, or none, to a question for a server's state."""
-        self._planner.take_report(event)
+        self._planner.handle_report(event)
         has_answered = event.accepted is not None or event.is_turned_away
-        self._suspects.take_report(event.name, answered=has_answered, now=now)
+        self._suspects.handle_report(event.name, answered=has_answered, now=now)
         return self.plan_soon(now)
 
     def _count_planners(self) -> int:
@@ -278,7 +280,7 @@
         return max(known, len(self._identity.zones))
 
     def _is_mine(self, instance: instances.Instance, now: float) -> bool:
-        charge = self._neighbours.find_in_charge(
+        charge = self._neighbours.find_owner(
             instance.zone, instance.domain, now
         )
         if charge != self._identity.node:
--- a/src/hickorylead/forwarding/answers.py
+++ b/src/hickorylead/forwarding/answers.py
@@ -11,7 +11,7 @@
 
 
 def start_stream(
-    opened: state.Open, book: health_module.HealthBook
+    opened: state.PendingRequest, book: health_module.HealthTracker
 ) -> list[events.Effect]:
     """Gives the head of a stream, with its first event.
 
@@ -22,33 +22,35 @@
     if not attempt.has_given:
         attempt.has_given = True
         seen = book.get(attempt.replica)
-        seen.reading -= opened.request.terms.prompt_tokens
+        seen.reading -= opened.request.metadata.prompt_tokens
     return _start(opened)
 
 
-def give_begun(opened: state.Open) -> list[events.Effect]:
+def give_begun(opened: state.PendingRequest) -> list[events.Effect]:
     """Gives what there is of an answer that is too large to be kept."""
     attempt = opened.attempt
     assert attempt is not None
     effects = _start(opened)
-    effects.append(events.Emit(opened.request.request_id, bytes(attempt.body)))
+    effects.append(
+        events.WriteChunk(opened.request.request_id, bytes(attempt.body))
+    )
     attempt.body.clear()
     return effects
 
 
-def give_whole(opened: state.Open) -> list[events.Effect]:
+def give_whole(opened: state.PendingRequest) -> list[events.Effect]:
     """Gives an answer that was kept until it was whole."""
     attempt = opened.attempt
     assert attempt is not None
     effects = _start(opened, len(attempt.body))
     if attempt.body:
         effects.append(
-            events.Emit(opened.request.request_id, bytes(attempt.body))
+            events.WriteChunk(opened.request.request_id, bytes(attempt.body))
         )
     return effects
 
 
-def is_worth_another(opened: state.Open) -> bool:
+def is_worth_another(opened: state.PendingRequest) -> bool:
     """Says whether a replica's failure is worth another try."""
     attempt = opened.attempt
     assert attempt is not None
@@ -56,13 +58,13 @@
         attempt.head is not None
         and attempt.head.status >= 500
         and not opened.started
-        and opened.request.route.is_repeatable
+        and opened.request.route.is_retryable
         and opened.runs + 1 < opened.request.route.max_attempts
     )
 
 
 def _start(
-    opened: state.Open, length: int | None = None
+    opened: state.PendingRequest, length: int | None = None
 ) -> list[events.Effect]:
     attempt = opened.attempt
     assert attempt is not None
@@ -72,7 +74,7 @@
     head = attempt.head
     assert head is not None
     return [
-        events.Start(
+        events.StartResponse(
             opened.request.request_id, head.status, head.headers, length
         )
     ]
--- a/src/hickorylead/forwarding/choice.py
+++ b/src/hickorylead/forwarding/choice.py
@@ -12,12 +12,12 @@
 
     from hickorylead.configuration import document as document_module
     from hickorylead.forwarding import (
-        fleetview,
         health as health_module,
         model,
+        replica_directory,
     )
-    from hickorylead.notices import book as book_module
-    from hickorylead.ratelimits import permits as permits_module
+    from hickorylead.notices import notice_store as notice_store_module
+    from hickorylead.ratelimits import permit_pool as permit_pool_module
 
 # A replica of another zone is taken if it is this much faster, in seconds: a
 # round trip is about 2 ms, and bytes between zones are dear. Nobody feels the
@@ -106,25 +106,25 @@
         self,
         *,
         zone: str,
-        view: fleetview.FleetView,
-        book: health_module.HealthBook,
-        notices: book_module.NoticeBook,
-        permits: permits_module.Permits,
+        directory: replica_directory.ReplicaDirectory,
+        health: health_module.HealthTracker,
+        notices: notice_store_module.NoticeStore,
+        permits: permit_pool_module.PermitPool,
         rng: random.Random,
     ) -> None:
         """Makes a chooser.
 
         Args:
             zone: Zone of the gateway.
-            view: Replicas that may be used.
-            book: What was seen of them.
+            directory: Replicas that may be used.
+            health: What was seen of them.
             notices: What they said about requests to come.
             permits: Permits for those that name a rate limit.
             rng: Source of the spread.
         """
         self._zone = zone
-        self._view = view
-        self._book = book
+        self._view = directory
+        self._book = health
         self._notices = notices
         self._permits = permits
         self._rng = rng
@@ -136,7 +136,7 @@
     def choose(
         self,
         request: model.Request,
-        engine: document_module.Engine | None,
+        engine: document_module.EngineProfile | None,
         *,
         avoid: Collection[str],
         may_probe: bool,
@@ -170,7 +170,7 @@
             if replica.name in avoid:
                 continue
             running = self._book.count_requests(replica, now)
-            own_requests = self._book.get(replica).running
+            own_requests = self._book.get(replica).own_requests
             if running >= replica.slots * most or (
                 max_own_requests is not None
                 and own_requests >= max_own_requests
@@ -178,7 +178,9 @@
                 full += 1
                 continue
             estimate_s = self._estimate(replica, request, engine, running, now)
-            if self._notices.is_doubted(replica, now, may_probe=may_probe):
+            if self._notices.is_likely_to_refuse(
+                replica, now, may_probe=may_probe
+            ):
                 estimate_s += DOUBT_S
             if self._permits.may_send(replica, now):
                 found = _Candidate(replica, estimate_s)
@@ -186,7 +188,7 @@
                 continue
             # It named a limit for all gateways together. Each sent it what
             # seemed right by itself, and it got many times what it takes.
-            permit_s = self._permits.find_wait(replica, now)
+            permit_s = self._permits.get_wait_remaining_s(replica, now)
             found = _Candidate(replica, estimate_s, permit_s)
             withheld = (
                 found if withheld is None else min(withheld, found, key=_rank)
@@ -214,7 +216,9 @@
         self, request: model.Request, now: float
     ) -> list[model.Replica]:
         """Returns the replicas for a request that are not about to end."""
-        known = self._view.list_replicas(request.service, request.terms.model)
+        known = self._view.list_replicas(
+            request.service, request.metadata.model
+        )
         if not len(self._notices):
             return known
         return [r for r in known if not self._notices.is_leaving(r, now)]
@@ -225,14 +229,16 @@
         """Returns the replicas that want no request, and for how long."""
         if not len(self._notices):
             return {}
-        pauses = {r.name: self._notices.find_pause(r, now) for r in known}
+        pauses = {
+            r.name: self._notices.get_pause_remaining_s(r, now) for r in known
+        }
         return {name: left_s for name, left_s in pauses.items() if left_s}
 
     def _estimate(
         self,
         replica: model.Replica,
         request: model.Request,
-        engine: document_module.Engine | None,
+        engine: document_module.EngineProfile | None,
         running: int,
         now: float,
     ) -> float:
@@ -250,14 +256,20 @@
             share = 0.1 * busy / replica.slots + 0.5 * waiting / replica.slots
             return estimate_s + request.route.objective_s * share
         figures = engine.find_model(replica.model)
-        pace = figures.pace if figures else 1.0
-        reading = self._book.get(replica).reading + request.terms.prompt_tokens
-        step_s = engine.step_s + engine.step_per_request_s * (running + 1)
+        pace = figures.time_factor if figures else 1.0
+        reading = (
+            self._book.get(replica).reading + request.metadata.prompt_tokens
+        )
+        step_s = engine.decode_step_s + engine.decode_step_per_request_s * (
+            running + 1
+        )
         waiting = max(0, running + 1 - replica.slots)
         # A full replica lets a newcomer wait until one of its requests ends.
         usual_s = step_s * 100 * waiting / replica.slots
         return estimate_s + pace * (
-            step_s * engine.stride + reading * engine.read_s + usual_s
+            step_s * engine.steps_per_event
+            + reading * engine.prefill_per_token_s
+            + usual_s
         )
 
 
--- a/src/hickorylead/forwarding/descriptions.py
+++ b/src/hickorylead/forwarding/descriptions.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from hickorylead import notes
-from hickorylead.crashes import contents
+from hickorylead.crashes import request_hash
 
 if TYPE_CHECKING:
     from hickorylead import verdict as verdict_module
@@ -17,21 +17,23 @@
     )
 
 
-def describe_attempt(opened: state.Open, attempt: state.Attempt) -> notes.Note:
+def describe_attempt(
+    opened: state.PendingRequest, attempt: state.Attempt
+) -> notes.Note:
     """Returns the line about a second or later try."""
     return notes.Note(
         "attempt_sent",
         opened.request.request_id,
         {
             "attempt": attempt.number,
-            "last_event": opened.last_event,
+            "last_event": opened.last_event_id,
             **_describe_choice(attempt),
         },
     )
 
 
 def describe_failure(
-    opened: state.Open,
+    opened: state.PendingRequest,
     attempt: state.Attempt,
     *,
     verdict: verdict_module.Verdict,
@@ -48,8 +50,8 @@
             "verdict": verdict.value,
             "reason": reason,
             "after_s": round(now - attempt.sent_at, 3),
-            "last_event": opened.last_event,
-            "content": contents.write_content(opened.content),
+            "last_event": opened.last_event_id,
+            "content": request_hash.format_request_hash(opened.content),
             **_describe_refusal(attempt.head),
         },
     )
@@ -70,7 +72,7 @@
 
 
 def describe_end(
-    opened: state.Open, outcome: str, *, version: int, now: float
+    opened: state.PendingRequest, outcome: str, *, version: int, now: float
 ) -> notes.Note:
     """Returns the line about a request that has its final answer.
 
@@ -85,11 +87,11 @@
         "request_ended",
         request.request_id,
         {
-            "attempt_id": request.terms.attempt_id,
+            "attempt_id": request.metadata.attempt_id,
             "route": request.route.name,
             "kind": request.route.kind.value,
             "workspace": request.workspace,
-            "content": contents.write_content(opened.content),
+            "content": request_hash.format_request_hash(opened.content),
             "configuration": version,
             "outcome": outcome,
             "verdict": opened.verdict.value,
@@ -98,7 +100,7 @@
             "first_event_s": _round(opened.first_event_s),
             "objective_s": request.route.objective_s,
             "longest_pause_s": round(opened.longest_pause_s, 3),
-            "pause_limit_s": request.route.pause_s,
+            "pause_limit_s": request.route.max_event_gap_s,
             "sent_after_s": _round(
                 opened.first_sent_at - opened.arrived_at
                 if opened.first_sent_at is not None
@@ -111,7 +113,10 @@
 
 
 def describe_stall(
-    stall: stalls.Stall, seen: health_module.Seen, streams: int, now: float
+    stall: stalls.Stall,
+    seen: health_module.ReplicaStats,
+    streams: int,
+    now: float,
 ) -> notes.Note:
     """Returns the line about a replica that has stopped."""
     return notes.note(
@@ -151,7 +156,7 @@
     }
 
 
-def _describe_refusal(head: model.Head | None) -> dict[str, Any]:
+def _describe_refusal(head: model.ResponseHead | None) -> dict[str, Any]:
     if head is None or not head.not_run:
         return {}
     return {
--- a/src/hickorylead/forwarding/events.py
+++ b/src/hickorylead/forwarding/events.py
@@ -11,30 +11,30 @@
 
 
 @attrs.frozen
-class Arrived:
+class RequestArrived:
     """Event: a request came, whole."""
 
     request: model.Request
 
 
 @attrs.frozen
-class CallerLeft:
+class CallerDisconnected:
     """Event: the caller closed its connection before the answer ended."""
 
     request_id: str
 
 
 @attrs.frozen
-class Began:
+class ResponseHeadArrived:
     """Event: the head of a replica's answer came."""
 
     request_id: str
     attempt: int
-    head: model.Head
+    head: model.ResponseHead
 
 
 @attrs.frozen
-class PieceCame:
+class ChunkArrived:
     """Event: a piece of the body of a replica's answer came."""
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Ended:
+class ResponseCompleted:
     """Event: a replica's answer is whole."""
 
     request_id: str
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Failed:
+class AttemptFailed:
     """Event: an attempt ended without a whole answer.
 
     Attributes:
@@ -67,11 +67,18 @@
     reason: str
 
 
-Event: TypeAlias = Arrived | CallerLeft | Began | PieceCame | Ended | Failed
+Event: TypeAlias = (
+    RequestArrived
+    | CallerDisconnected
+    | ResponseHeadArrived
+    | ChunkArrived
+    | ResponseCompleted
+    | AttemptFailed
+)
 
 
 @attrs.frozen
-class Open:
+class StartAttempt:
     """Effect: send a request to a replica.
 
     Attributes:
@@ -79,7 +86,7 @@
         attempt: Number of the attempt, from 1.
         replica: Where to.
         budget_s: How long the replica may work on it, in seconds.
-        last_event: Id of the last event that the caller has; 0 if none.
+        last_event_id: Id of the last event that the caller has; 0 if none.
         rank: Its rank among the replica's requests, 0 to 9; 0 goes first.
     """
 
@@ -87,12 +94,12 @@
     attempt: int
     replica: model.Replica
     budget_s: float
-    last_event: int
+    last_event_id: int
     rank: int
 
 
 @attrs.frozen
-class Cancel:
+class CancelAttempt:
     """Effect: close an attempt's connection, which stops the replica."""
 
     request_id: str
@@ -100,7 +107,7 @@
 
 
 @attrs.frozen
-class Start:
+class StartResponse:
     """Effect: give the caller the head of its answer.
 
     Attributes:
@@ -117,7 +124,7 @@
 
 
 @attrs.frozen
-class Emit:
+class WriteChunk:
     """Effect: give the caller a piece of the body."""
 
     request_id: str
@@ -125,14 +132,14 @@
 
 
 @attrs.frozen
-class Finish:
+class FinishResponse:
     """Effect: the answer is whole."""
 
     request_id: str
 
 
 @attrs.frozen
-class Break:
+class AbortResponse:
     """Effect: end the answer so that it does not look whole."""
 
     request_id: str
@@ -156,5 +163,12 @@
 
 
 Effect: TypeAlias = (
-    Open | Cancel | Start | Emit | Finish | Break | Refuse | notes.Note
+    StartAttempt
+    | CancelAttempt
+    | StartResponse
+    | WriteChunk
+    | FinishResponse
+    | AbortResponse
+    | Refuse
+    | notes.Note
 )
--- a/src/hickorylead/forwarding/forwarder.py
+++ b/src/hickorylead/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 
 from hickorylead import verdict as verdict_module
 from hickorylead.admission import budget as budget_module
-from hickorylead.crashes import contents, guard as guard_module
+from hickorylead.crashes import crash_guard as crash_guard_module, request_hash
 from hickorylead.forwarding import (
     answers,
     choice as choice_module,
@@ -31,8 +31,8 @@
     from hickorylead.forwarding import (
         health as health_module,
     )
-    from hickorylead.notices import book as book_module
-    from hickorylead.ratelimits import permits as permits_module
+    from hickorylead.notices import notice_store as notice_store_module
+    from hickorylead.ratelimits import permit_pool as permit_pool_module
 
 Verdict = verdict_module.Verdict
 
@@ -72,18 +72,18 @@
         self,
         *,
         chooser: choice_module.Chooser,
-        book: health_module.HealthBook,
-        guard: guard_module.Guard,
-        notices: book_module.NoticeBook,
-        permits: permits_module.Permits,
-        limits: budget_module.RetryLimits = budget_module.DEFAULT_LIMITS,
+        health: health_module.HealthTracker,
+        guard: crash_guard_module.CrashGuard,
+        notices: notice_store_module.NoticeStore,
+        permits: permit_pool_module.PermitPool,
+        limits: budget_module.RetryLimits = budget_module.DEFAULT_RETRY_LIMITS,
         started_at: float = -1e9,
     ) -> None:
         """Makes a forwarder without requests.
 
         Args:
             chooser: The choice of a replica.
-            book: What this gateway has seen of replicas.
+            health: What this gateway has seen of replicas.
             guard: Contents that no replica may get, and lost runs.
             notices: What replicas said about requests to come.
             permits: Permits for replicas that name a rate limit.
@@ -92,12 +92,12 @@
         """
         self._started_at = started_at
         self._chooser = chooser
-        self._book = book
+        self._book = health
         self._guard = guard
         self._notices = notices
         self._permits = permits
-        self._budgets = budget_module.SharedBudgets(limits)
-        self._open: dict[str, state.Open] = {}
+        self._budgets = budget_module.GatewayRetryBudgets(limits)
+        self._open: dict[str, state.PendingRequest] = {}
         # Servers that refusals named as at fault, not yet reported, in order.
         self._faulty_servers: dict[str, None] = {}
         # Connection limits apply only once the number of gateways is known.
@@ -108,29 +108,29 @@
         """Returns how many requests have no final answer yet."""
         return len(self._open)
 
-    def note_gateways(self, count: int, now: float) -> None:
+    def set_gateway_count(self, count: int, now: float) -> None:
         """Takes how many gateways share the retries."""
-        self._budgets.note_gateways(count, now)
+        self._budgets.set_gateway_count(count, now)
         self._has_gateway_count = True
-        self._permits.note_gateways(self._budgets.gateways)
+        self._permits.set_gateway_count(self._budgets.gateway_count)
 
     def handle(self, event: events.Event, now: float) -> list[events.Effect]:
         """Handles one event."""
         match event:
-            case events.PieceCame():
+            case events.ChunkArrived():
                 return self._take_piece(event, now)
-            case events.Arrived(request):
+            case events.RequestArrived(request):
                 return self._arrive(request, now)
-            case events.Began():
+            case events.ResponseHeadArrived():
                 return self._begin(event, now)
-            case events.Ended():
+            case events.ResponseCompleted():
                 return self._end(event, now)
-            case events.Failed(request_id, attempt, verdict, reason):
+            case events.AttemptFailed(request_id, attempt, verdict, reason):
                 opened = self._find(request_id, attempt)
                 if opened is None:
                     return []
                 return self._fail(opened, verdict, reason, now)
-            case events.CallerLeft(request_id):
+            case events.CallerDisconnected(request_id):
                 return self._leave(request_id, now)
 
     def tick(self, now: float) -> list[events.Effect]:
@@ -143,7 +143,7 @@
                 effects += self._fail(
                     opened, Verdict.MAY_HAVE_RUN, "no_answer", now
                 )
-        effects += self.try_waiting(now)
+        effects += self.dispatch_waiting(now)
         for stall in stalls.find_stalled(
             list(self._open.values()),
             self._book,
@@ -154,13 +154,13 @@
             effects += self._leave_replica(stall, now)
         return effects
 
-    def take_faulty_servers(self) -> tuple[str, ...]:
+    def pop_faulty_servers(self) -> tuple[str, ...]:
         """Returns and clears the servers that refusals named as at fault."""
         names = tuple(self._faulty_servers)
         self._faulty_servers.clear()
         return names
 
-    def try_waiting(self, now: float) -> list[events.Effect]:
+    def dispatch_waiting(self, now: float) -> list[events.Effect]:
         """Tries the requests that wait for a replica, the most urgent first."""
         waiting = [o for o in self._open.values() if o.phase == "waiting"]
         waiting.sort(key=lambda o: (ranks.find_rank(o), o.arrived_at))
@@ -169,7 +169,7 @@
             effects += self._try(opened, now)
         return effects
 
-    def find_next(self, now: float) -> float:
+    def find_next_wakeup(self, now: float) -> float:
         """Returns when time alone may change something, at the earliest.
 
         What comes from replicas or callers is handled as it comes; it can only
@@ -203,7 +203,7 @@
             due = min(due, max(seen.progress_at, attempt.sent_at) + limit_s)
         return due
 
-    def take_stalls(
+    def handle_reported_stalls(
         self, heads: tuple[str, ...], now: float
     ) -> list[events.Effect]:
         """Takes replicas whose streams another gateway saw stop.
@@ -250,27 +250,29 @@
         self, request: model.Request, now: float
     ) -> list[events.Effect]:
         limit_s = request.route.timeout_s
-        if request.terms.budget_s is not None:
-            limit_s = min(limit_s, request.terms.budget_s)
+        if request.metadata.budget_s is not None:
+            limit_s = min(limit_s, request.metadata.budget_s)
         arrived_at = now - request.waited_s
-        opened = state.Open(
+        opened = state.PendingRequest(
             request,
             arrived_at,
             arrived_at + limit_s,
-            last_event=request.terms.last_event,
-            content=contents.hash_content(
+            last_event_id=request.metadata.last_event_id,
+            content=request_hash.hash_request(
                 request.workspace,
                 (request.method.encode(), request.target, request.body),
             ),
         )
         self._open[request.request_id] = opened
-        self._budgets.find(request.service).earn()
+        self._budgets.get_budget(request.service).deposit()
         self._book.note_prompt(
-            request.terms.model, request.terms.prompt_tokens, now
+            request.metadata.model, request.metadata.prompt_tokens, now
         )
         return self._try(opened, now)
 
-    def _try(self, opened: state.Open, now: float) -> list[events.Effect]:
+    def _try(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[events.Effect]:
         request = opened.request
         if opened.ends_at - now < MIN_BUDGET_S:
             return self._give_up(opened, now)
@@ -278,7 +280,7 @@
         # any gateway; without a look here, each time two more ended. What all
         # gateways know counts, and arrivals, retries and waiting requests all
         # come by here.
-        blocked_s = self._guard.find_block(opened.content, now)
+        blocked_s = self._guard.get_block_remaining_s(opened.content, now)
         if blocked_s is not None:
             return self._refuse_blocked(opened, blocked_s, now)
         if self._must_defer(opened, now):
@@ -290,18 +292,24 @@
             request,
             self._find_engine(request.service),
             avoid=opened.failed,
-            may_probe=self._budgets.find(request.service).has(PROBE_RETRIES),
+            may_probe=self._budgets.get_budget(request.service).has_balance(
+                PROBE_RETRIES
+            ),
             max_own_requests=self._find_max_own_requests(request.service),
             now=now,
         )
         match chosen:
             case choice_module.Choice(withheld=withheld):
                 if withheld is not None:
-                    self._permits.want(withheld, is_needed=False, now=now)
+                    self._permits.request_permit(
+                        withheld, is_needed=False, now=now
+                    )
                 return self._send(opened, chosen, now)
             case choice_module.NoChoice(withheld=withheld, wait_s=wait_s):
                 if withheld is not None:
-                    self._permits.want(withheld, is_needed=True, now=now)
+                    self._permits.request_permit(
+                        withheld, is_needed=True, now=now
+                    )
                 if refusals.may_wait(opened, now + wait_s):
                     opened.phase = "waiting"
                     return []
@@ -309,7 +317,7 @@
                     opened, refusals.describe_no_choice(opened, chosen), now
                 )
 
-    def _must_defer(self, opened: state.Open, now: float) -> bool:
+    def _must_defer(self, opened: state.PendingRequest, now: float) -> bool:
         """Returns whether a request must not be sent yet: it may end a server.
 
         A request whose answer has started is not deferred. Submissions of a
@@ -330,7 +338,10 @@
         )
 
     def _send(
-        self, opened: state.Open, chosen: choice_module.Choice, now: float
+        self,
+        opened: state.PendingRequest,
+        chosen: choice_module.Choice,
+        now: float,
     ) -> list[events.Effect]:
         request, replica = opened.request, chosen.replica
         opened.attempts += 1
@@ -340,27 +351,27 @@
         opened.offered = True
         attempt = state.Attempt(opened.attempts, replica, now, now)
         if request.is_stream:
-            attempt.cutter = stream.EventCutter(opened.last_event)
+            attempt.cutter = stream.EventCutter(opened.last_event_id)
         opened.attempt = opened.last = attempt
         seen = self._book.get(replica)
         attempt.choice = state.Choice(
             chosen.weighed,
             chosen.estimate_s,
-            seen.running,
+            seen.own_requests,
             now - seen.told_at if seen.told_at > 0 else None,
-            self._permits.find_limit(replica, now),
+            self._permits.get_limit_per_s(replica, now),
             chosen.paused,
         )
-        self._permits.spend(replica, now)
-        seen.running += 1
-        seen.reading += request.terms.prompt_tokens
+        self._permits.consume_permit(replica, now)
+        seen.own_requests += 1
+        seen.reading += request.metadata.prompt_tokens
         effects: list[events.Effect] = [
-            events.Open(
+            events.StartAttempt(
                 request=request,
                 attempt=attempt.number,
                 replica=replica,
                 budget_s=opened.ends_at - now,
-                last_event=opened.last_event,
+                last_event_id=opened.last_event_id,
                 rank=ranks.find_rank(opened),
             )
         ]
@@ -371,7 +382,9 @@
 
     # What comes back.
 
-    def _find(self, request_id: str, attempt: int) -> state.Open | None:
+    def _find(
+        self, request_id: str, attempt: int
+    ) -> state.PendingRequest | None:
         """Returns the request whose present try this is.
 
         What a former try still brings is dropped here: its request has moved
@@ -382,7 +395,9 @@
             return None
         return opened if opened.attempt.number == attempt else None
 
-    def _begin(self, event: events.Began, now: float) -> list[events.Effect]:
+    def _begin(
+        self, event: events.ResponseHeadArrived, now: float
+    ) -> list[events.Effect]:
         opened = self._find(event.request_id, event.attempt)
         if opened is None:
             return []
@@ -396,8 +411,10 @@
         # That request may have been sent before the latest refusal, so its
         # answer ends neither an estimated pause nor the doubt after a named
         # one. Refusals always count: some servers omit the attempt id.
-        is_own_answer = head.echo == opened.request.terms.attempt_id
-        if self._notices.note_answer(
+        is_own_answer = (
+            head.echoed_attempt_id == opened.request.metadata.attempt_id
+        )
+        if self._notices.record_response(
             attempt.replica,
             head,
             sent_at=(
@@ -406,19 +423,19 @@
             now=now,
         ):
             effects.append(descriptions.describe_leaving(attempt.replica))
-        if head.unreadable:
+        if head.malformed_headers:
             effects.append(
                 descriptions.describe_unreadable(
-                    attempt.replica, head.unreadable
+                    attempt.replica, head.malformed_headers
                 )
             )
         return effects + self._take_head(opened, attempt, head, now)
 
     def _note_limit(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         replica: model.Replica,
-        head: model.Head,
+        head: model.ResponseHead,
         now: float,
     ) -> list[events.Effect]:
         """Takes whether a replica names a rate limit.
@@ -426,26 +443,26 @@
         An answer to another request may have been held up for long. A refusal
         may leave out what other answers tell, so it ends no limit.
         """
-        if head.echo != opened.request.terms.attempt_id or (
+        if head.echoed_attempt_id != opened.request.metadata.attempt_id or (
             head.not_run and head.limit_per_s is None
         ):
             return []
-        if not self._permits.note_answer(replica, head.limit_per_s, now):
+        if not self._permits.record_response(replica, head.limit_per_s, now):
             return []
         return [descriptions.describe_limit(replica, head.limit_per_s)]
 
     def _take_head(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         attempt: state.Attempt,
-        head: model.Head,
+        head: model.ResponseHead,
         now: float,
     ) -> list[events.Effect]:
-        if head.echo != opened.request.terms.attempt_id:
+        if head.echoed_attempt_id != opened.request.metadata.attempt_id:
             # The answer to another request: this connection is mixed up, and
             # nothing of it may reach this caller.
             verdict = Verdict.NOT_RUN if head.not_run else Verdict.MAY_HAVE_RUN
-            if head.echo or not head.not_run:
+            if head.echoed_attempt_id or not head.not_run:
                 verdict = Verdict.MAY_HAVE_RUN
             return self._fail(opened, verdict, "foreign_answer", now)
         if head.not_run:
@@ -455,7 +472,9 @@
             ):
                 self._faulty_servers[head.faulty_server] = None
             return self._fail(opened, Verdict.NOT_RUN, "refused", now)
-        if head.is_encoded or (head.status < 300 and not head.is_sealed):
+        if head.has_content_encoding or (
+            head.status < 300 and not head.is_signed
+        ):
             return self._fail(
                 opened, Verdict.MAY_HAVE_RUN, "spoiled_answer", now
             )
@@ -469,7 +488,7 @@
         return []
 
     def _take_piece(
-        self, event: events.PieceCame, now: float
+        self, event: events.ChunkArrived, now: float
     ) -> list[events.Effect]:
         opened = self._find(event.request_id, event.attempt)
         if opened is None or opened.attempt is None:
@@ -487,15 +506,17 @@
         if cut.data:
             opened.note_events(now)
             effects += answers.start_stream(opened, self._book)
-            effects.append(events.Emit(event.request_id, cut.data))
-            opened.last_event = attempt.cutter.last_event
+            effects.append(events.WriteChunk(event.request_id, cut.data))
+            opened.last_event_id = attempt.cutter.last_event_id
         if cut.problem:
             effects += self._fail(
                 opened, Verdict.MAY_HAVE_RUN, cut.problem, now
             )
         return effects
 
-    def _end(self, event: events.Ended, now: float) -> list[events.Effect]:
+    def _end(
+        self, event: events.ResponseCompleted, now: float
+    ) -> list[events.Effect]:
         opened = self._find(event.request_id, event.attempt)
         if opened is None or opened.attempt is None:
             return []
@@ -519,17 +540,17 @@
         if head is not None and head.status < 500:
             self._book.note_success(attempt.replica)
             if attempt.cutter is None or attempt.has_given:
-                self._guard.note_answered(opened.content, now)
+                self._guard.record_complete_response(opened.content, now)
         elif head is not None:
             self._book.note_failure(attempt.replica, now)
-        effects.append(events.Finish(event.request_id))
+        effects.append(events.FinishResponse(event.request_id))
         return effects + self._close(opened, "answered", now)
 
     # Failures.
 
     def _fail(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         verdict: verdict_module.Verdict,
         reason: str,
         now: float,
@@ -553,7 +574,7 @@
         return effects + self._retry(opened, reason, now)
 
     def _end_attempt(
-        self, opened: state.Open, verdict: verdict_module.Verdict
+        self, opened: state.PendingRequest, verdict: verdict_module.Verdict
     ) -> list[events.Effect]:
         attempt = opened.attempt
         assert attempt is not None
@@ -564,29 +585,29 @@
         if verdict is not Verdict.NOT_RUN:
             opened.runs += 1
         opened.failed.add(attempt.replica.name)
-        return [events.Cancel(opened.request.request_id, attempt.number)]
+        return [events.CancelAttempt(opened.request.request_id, attempt.number)]
 
     def _retry(
-        self, opened: state.Open, reason: str, now: float
+        self, opened: state.PendingRequest, reason: str, now: float
     ) -> list[events.Effect]:
         has_time = opened.ends_at - now > MIN_BUDGET_S
         if not (has_time and opened.may_repeat and opened.attempts < MAX_SENDS):
             return self._end_failed(opened, reason, now)
-        if not self._budgets.find(opened.request.service).spend():
+        if not self._budgets.get_budget(opened.request.service).try_withdraw():
             return self._end_failed(opened, "retry_budget_spent", now)
         return self._try(opened, now)
 
     def _end_failed(
-        self, opened: state.Open, reason: str, now: float
+        self, opened: state.PendingRequest, reason: str, now: float
     ) -> list[events.Effect]:
         if opened.started:
-            broken = events.Break(opened.request.request_id)
+            broken = events.AbortResponse(opened.request.request_id)
             return [broken, *self._close(opened, f"broken_{reason}", now)]
         return self._refuse(
             opened, refusals.describe_failure(opened, reason), now
         )
 
-    def _can_move(self, opened: state.Open, now: float) -> bool:
+    def _can_move(self, opened: state.PendingRequest, now: float) -> bool:
         """Says whether a request surely finds another replica.
 
         One that gives nothing may still go on; to leave it without another
@@ -595,11 +616,13 @@
         attempt = opened.attempt
         if (
             attempt is None
-            or not opened.request.route.is_repeatable
+            or not opened.request.route.is_retryable
             or opened.runs + 1 >= opened.request.route.max_attempts
             or opened.attempts >= MAX_SENDS
             or opened.ends_at - now <= MIN_BUDGET_S
-            or not self._budgets.find(opened.request.service).has(1)
+            or not self._budgets.get_budget(opened.request.service).has_balance(
+                1
+            )
         ):
             return False
         chosen = self._chooser.choose(
@@ -642,20 +665,22 @@
 
     # Ends.
 
-    def _give_up(self, opened: state.Open, now: float) -> list[events.Effect]:
+    def _give_up(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[events.Effect]:
         effects = self._end_unanswered(opened, now)
         return effects + self._end_failed(opened, "deadline", now)
 
     def _refuse_blocked(
-        self, opened: state.Open, blocked_s: float, now: float
+        self, opened: state.PendingRequest, blocked_s: float, now: float
     ) -> list[events.Effect]:
         if opened.started:
-            return self._end_failed(opened, refusals.BLOCKED, now)
+            return self._end_failed(opened, refusals.BLOCKED_REASON, now)
         refusal = refusals.describe_block(opened, blocked_s)
         return self._refuse(opened, refusal, now)
 
     def _end_unanswered(
-        self, opened: state.Open, now: float
+        self, opened: state.PendingRequest, now: float
     ) -> list[events.Effect]:
         """Ends a try that is under way, if there is one."""
         attempt = opened.attempt
@@ -666,10 +691,12 @@
         return self._end_attempt(opened, Verdict.MAY_HAVE_RUN)
 
     def _note_lost(
-        self, opened: state.Open, attempt: state.Attempt, now: float
+        self, opened: state.PendingRequest, attempt: state.Attempt, now: float
     ) -> None:
         replica = attempt.replica
-        self._guard.note_lost(opened.content, replica.name, replica.born, now)
+        self._guard.record_lost_run(
+            opened.content, replica.name, replica.born, now
+        )
 
     def _leave(self, request_id: str, now: float) -> list[events.Effect]:
         opened = self._open.get(request_id)
@@ -679,7 +706,7 @@
         return effects + self._close(opened, "caller_left", now)
 
     def _refuse(
-        self, opened: state.Open, refusal: events.Refuse, now: float
+        self, opened: state.PendingRequest, refusal: events.Refuse, now: float
     ) -> list[events.Effect]:
         return [
             refusal,
@@ -687,7 +714,7 @@
         ]
 
     def _close(
-        self, opened: state.Open, outcome: str, now: float
+        self, opened: state.PendingRequest, outcome: str, now: float
     ) -> list[events.Effect]:
         self._release(opened)
         request = opened.request
@@ -701,14 +728,14 @@
             )
         ]
 
-    def _release(self, opened: state.Open) -> None:
+    def _release(self, opened: state.PendingRequest) -> None:
         attempt = opened.attempt
         if attempt is None:
             return
         seen = self._book.get(attempt.replica)
-        seen.running -= 1
+        seen.own_requests -= 1
         if not attempt.has_given:
-            seen.reading -= opened.request.terms.prompt_tokens
+            seen.reading -= opened.request.metadata.prompt_tokens
         opened.attempt = None
 
     def _find_max_own_requests(self, service: str) -> int | None:
@@ -724,9 +751,11 @@
         ):
             return None
         available = int(CONNECTION_SHARE * found.max_connections)
-        return max(1, available // self._budgets.gateways)
+        return max(1, available // self._budgets.gateway_count)
 
-    def _find_engine(self, service: str) -> document_module.Engine | None:
+    def _find_engine(
+        self, service: str
+    ) -> document_module.EngineProfile | None:
         if self.document is None:
             return None
         found = self.document.find_service(service)
--- a/src/hickorylead/forwarding/dialect.py
+++ b/src/hickorylead/forwarding/header_codec.py
@@ -14,23 +14,25 @@
     from hickorylead.forwarding import events, model
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Names and formats between callers, this system and replicas."""
 
-    def read_terms(self, headers: Iterable[model.Header]) -> model.Terms | str:
+    def decode_metadata(
+        self, headers: Iterable[model.Header]
+    ) -> model.RequestMetadata | str:
         """Returns what a caller says, or what is wrong with its headers."""
 
-    def list_headers(
+    def list_forwarded_headers(
         self, headers: Iterable[model.Header], workspace: str
     ) -> tuple[model.Header, ...]:
         """Returns the headers to pass on, whatever the attempt."""
 
-    def write_head(self, attempt: events.Open) -> bytes:
+    def encode_request_head(self, attempt: events.StartAttempt) -> bytes:
         """Returns the head of a request to a replica."""
 
-    def read_head(
+    def decode_response_head(
         self, status: int, headers: Sequence[model.Header]
-    ) -> model.Head:
+    ) -> model.ResponseHead:
         """Returns the head of a replica's answer."""
 
     def write_refusal(
--- a/src/hickorylead/forwarding/health.py
+++ b/src/hickorylead/forwarding/health.py
@@ -20,14 +20,15 @@
 
 
 @attrs.define
-class Seen:
+class ReplicaStats:
     """One replica, as one gateway sees it.
 
     Attributes:
         epoch: Fencing number of the group that all this is about.
-        running: Own requests that run there.
+        own_requests: Own requests that run there.
         reading: Tokens of own prompts that have given nothing yet.
-        others: Requests of the other gateways of the zone, as last told.
+        other_gateway_requests: Requests of the other gateways of the zone, as
+            last told.
         told: Load that the replica told, less own requests at that time.
         told_at: When it told it.
         progress_at: When it last gave something to any own request.
@@ -38,9 +39,9 @@
     """
 
     epoch: int = 0
-    running: int = 0
+    own_requests: int = 0
     reading: int = 0
-    others: int = 0
+    other_gateway_requests: int = 0
     told: int = 0
     told_at: float = -1e9
     progress_at: float = -1e9
@@ -50,19 +51,19 @@
     failed_at: float = -1e9
 
 
-class HealthBook:
+class HealthTracker:
     """All replicas, by the name of the instance that takes requests."""
 
     def __init__(self) -> None:
         """Makes an empty book."""
-        self.seen: dict[str, Seen] = {}
+        self.stats: dict[str, ReplicaStats] = {}
         self._prompts: dict[str, tuple[float, float]] = {}
 
-    def get(self, replica: model.Replica) -> Seen:
+    def get(self, replica: model.Replica) -> ReplicaStats:
         """Returns what was seen of a replica."""
-        seen = self.seen.get(replica.name)
+        seen = self.stats.get(replica.name)
         if seen is None:
-            seen = self.seen[replica.name] = Seen(epoch=replica.epoch)
+            seen = self.stats[replica.name] = ReplicaStats(epoch=replica.epoch)
         elif seen.epoch != replica.epoch:
             # The head serves in another group now: what was seen of the
             # former one says nothing about it.
@@ -86,7 +87,7 @@
     ) -> None:
         """Takes the load that a replica told with an answer."""
         seen = self.get(replica)
-        seen.told = max(0, load.running + load.waiting - seen.running)
+        seen.told = max(0, load.running + load.waiting - seen.own_requests)
         seen.told_at = now
 
     def note_failure(self, replica: model.Replica, now: float) -> None:
@@ -110,7 +111,7 @@
         """Returns an estimate of the requests that run at a replica."""
         seen = self.get(replica)
         told = seen.told if now - seen.told_at < LOAD_MEMORY_S else 0
-        return seen.running + max(told, seen.others)
+        return seen.own_requests + max(told, seen.other_gateway_requests)
 
     def note_progress(self, replica: model.Replica, now: float) -> None:
         """Takes that a replica gave something to a request.
@@ -147,21 +148,21 @@
         what only waited here says little.
         """
         return tuple(
-            n for n, seen in self.seen.items() if now < seen.noticed_until
+            n for n, seen in self.stats.items() if now < seen.noticed_until
         )
 
-    def list_flowing(
+    def list_progressing(
         self, within_s: float, now: float
     ) -> tuple[tuple[str, float], ...]:
         """Returns the replicas that gave something lately, and how long ago."""
         return tuple(
             (name, now - seen.progress_at)
-            for name, seen in self.seen.items()
+            for name, seen in self.stats.items()
             if now - seen.progress_at < within_s
         )
 
-    def forget(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Drops replicas that are no more and have no requests."""
-        for name in [n for n in self.seen if n not in names]:
-            if not self.seen[name].running:
-                del self.seen[name]
+        for name in [n for n in self.stats if n not in names]:
+            if not self.stats[name].own_requests:
+                del self.stats[name]
--- a/src/hickorylead/forwarding/model.py
+++ b/src/hickorylead/forwarding/model.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Terms:
+class RequestMetadata:
     """What a caller says about a request, decoded from its headers.
 
     Attributes:
@@ -22,8 +22,8 @@
         key: Key of a workspace; empty if none was shown.
         model: Model that it asks for; empty for plain services.
         prompt_tokens: Tokens of its prompt.
-        answer_tokens: Most tokens of its answer.
-        last_event: Id of the last event that the caller has; 0 if none.
+        max_output_tokens: Most tokens of its answer.
+        last_event_id: Id of the last event that the caller has; 0 if none.
     """
 
     attempt_id: str
@@ -31,8 +31,8 @@
     key: str = ""
     model: str = ""
     prompt_tokens: int = 0
-    answer_tokens: int = 0
-    last_event: int = 0
+    max_output_tokens: int = 0
+    last_event_id: int = 0
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
 
     Attributes:
         request_id: This gateway's own name for it.
-        terms: What the caller says about it.
+        metadata: What the caller says about it.
         route: Its route.
         service: Service that was drawn from the route.
         workspace: Name of the caller's workspace; empty if none.
@@ -55,7 +55,7 @@
     """
 
     request_id: str
-    terms: Terms
+    metadata: RequestMetadata
     route: document_module.Route
     service: str
     workspace: str
@@ -69,7 +69,7 @@
     @property
     def is_stream(self) -> bool:
         """Says whether the answer is a stream of events."""
-        return self.route.kind is document_module.Kind.STREAM
+        return self.route.kind is document_module.RouteKind.STREAM
 
 
 @attrs.frozen
@@ -82,38 +82,40 @@
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """The head of a replica's answer, decoded.
 
     Attributes:
         status: HTTP status.
         headers: Headers to pass on to the caller.
-        echo: The attempt id that the replica repeats; empty if none.
-        is_sealed: Whether the replica signed it.
+        echoed_attempt_id: The attempt id that the replica repeats; empty if
+            none.
+        is_signed: Whether the replica signed it.
         not_run: Whether the replica says that it did not run the request.
-        is_encoded: Whether something on the way changed the body's encoding.
+        has_content_encoding: Whether something on the way changed the body's
+            encoding.
         load: The replica's load, if told.
         limit_per_s: Requests a second that the replica takes from all gateways
             together, as long as it says so; None if it takes what comes.
         retry_after_s: How long the replica wants no request from this gateway,
             in seconds; None if unsaid.
         is_leaving: Whether the replica is about to end.
-        unreadable: Names of headers whose values can't be read.
+        malformed_headers: Names of headers whose values can't be read.
         faulty_server: The server that a refusal names as at fault, such as a
             lost member of the group; empty if it names none.
     """
 
     status: int
     headers: tuple[Header, ...] = ()
-    echo: str = ""
-    is_sealed: bool = False
+    echoed_attempt_id: str = ""
+    is_signed: bool = False
     not_run: bool = False
-    is_encoded: bool = False
+    has_content_encoding: bool = False
     load: Load | None = None
     limit_per_s: float | None = None
     retry_after_s: float | None = None
     is_leaving: bool = False
-    unreadable: tuple[str, ...] = ()
+    malformed_headers: tuple[str, ...] = ()
     faulty_server: str = ""
 
 
--- a/src/hickorylead/forwarding/ranks.py
+++ b/src/hickorylead/forwarding/ranks.py
@@ -14,7 +14,7 @@
 RANKS_PER_PRIORITY = 2
 
 
-def find_rank(opened: state.Open) -> int:
+def find_rank(opened: state.PendingRequest) -> int:
     """Returns the rank of a request among others, 0 first.
 
     The operators' priorities come first. Within one, a stream that its caller
--- a/src/hickorylead/forwarding/refusals.py
+++ b/src/hickorylead/forwarding/refusals.py
@@ -20,12 +20,12 @@
 # And to one without any replica: a group is formed anew in about a second.
 NONE_RETRY_S = 0.8
 # Reason of a request that no replica gets.
-BLOCKED = "ends_servers"
+BLOCKED_REASON = "ends_servers"
 # Returns are spread by this share around the usual time.
 SPREAD_SHARE = 0.3
 
 
-def may_wait(opened: state.Open, now: float) -> bool:
+def may_wait(opened: state.PendingRequest, now: float) -> bool:
     """Says whether a request may wait for a replica."""
     if opened.started:
         # Its caller holds a part of the answer; the rest is worth a wait.
@@ -35,7 +35,7 @@
 
 
 def describe_no_choice(
-    opened: state.Open, chosen: choice_module.NoChoice
+    opened: state.PendingRequest, chosen: choice_module.NoChoice
 ) -> events.Refuse:
     """Returns the answer to a request that no replica can take."""
     if chosen.withheld is not None:
@@ -47,23 +47,27 @@
     return _refuse(opened, "no_replica", NONE_RETRY_S)
 
 
-def describe_block(opened: state.Open, left_s: float) -> events.Refuse:
+def describe_block(
+    opened: state.PendingRequest, left_s: float
+) -> events.Refuse:
     """Returns the answer to a request that ended the servers which ran it.
 
     To come back sooner is of no use: all gateways refuse it until then.
     """
     if opened.verdict is not verdict_module.Verdict.NOT_RUN:
-        return _refuse(opened, BLOCKED, None)
-    return events.Refuse(opened.request.request_id, 503, BLOCKED, left_s)
+        return _refuse(opened, BLOCKED_REASON, None)
+    return events.Refuse(opened.request.request_id, 503, BLOCKED_REASON, left_s)
 
 
-def describe_failure(opened: state.Open, reason: str) -> events.Refuse:
+def describe_failure(
+    opened: state.PendingRequest, reason: str
+) -> events.Refuse:
     """Returns the answer to a request whose tries all failed."""
     retry_s = None if reason == "deadline" else FULL_RETRY_S
     return _refuse(opened, reason, retry_s)
 
 
-def spread_return(request_id: str, retry_s: float) -> float:
+def jitter_retry_after(request_id: str, retry_s: float) -> float:
     """Returns when one caller should come back, in seconds.
 
     Callers that were refused in one moment would come back in one moment, and
@@ -76,14 +80,14 @@
 
 
 def _refuse(
-    opened: state.Open, reason: str, retry_s: float | None
+    opened: state.PendingRequest, reason: str, retry_s: float | None
 ) -> events.Refuse:
     # 503 promises that the request has not run; only a request that surely
     # has not, or that may run again anyway, gets it. A caller must not repeat
     # the others, so they get a status that promises nothing.
     request_id = opened.request.request_id
     if retry_s is not None:
-        retry_s = spread_return(request_id, retry_s)
+        retry_s = jitter_retry_after(request_id, retry_s)
     if opened.verdict is verdict_module.Verdict.NOT_RUN:
         return events.Refuse(request_id, 503, reason, retry_s)
     return events.Refuse(
--- a/src/hickorylead/forwarding/fleetview.py
+++ b/src/hickorylead/forwarding/replica_directory.py
@@ -13,7 +13,7 @@
     from hickorylead.fleet import registry as registry_module
 
 
-class FleetView:
+class ReplicaDirectory:
     """Replicas by service and model, kept up to date with a registry."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
@@ -28,7 +28,7 @@
         self._replicas: dict[tuple[str, str], list[model.Replica]] = {}
         self._by_name: dict[str, model.Replica] = {}
 
-    def follow(self, document: document_module.Document) -> None:
+    def set_document(self, document: document_module.Document) -> None:
         """Takes the configuration in force."""
         self._document = document
 
@@ -87,7 +87,7 @@
     def _add_groups(
         self,
         service: str,
-        engine: document_module.Engine,
+        engine: document_module.EngineProfile,
         found: list[instances.Instance],
     ) -> None:
         groups = groups_module.collect_groups(found)
--- a/src/hickorylead/forwarding/routes.py
+++ b/src/hickorylead/forwarding/routes.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Found:
+class RouteMatch:
     """A request that may be forwarded.
 
     Attributes:
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class WrongKey:
+class InvalidKey:
     """The caller showed no valid key."""
 
 
@@ -57,7 +57,7 @@
 
     def find(
         self, host: str, path: str, key: str
-    ) -> Found | NoRoute | WrongKey:
+    ) -> RouteMatch | NoRoute | InvalidKey:
         """Returns where a request goes.
 
         Args:
@@ -70,8 +70,10 @@
             return NoRoute()
         workspace = self._by_key.get(key)
         if not route.needs_key or not self.document.workspaces:
-            return Found(route, workspace)
-        return WrongKey() if workspace is None else Found(route, workspace)
+            return RouteMatch(route, workspace)
+        return (
+            InvalidKey() if workspace is None else RouteMatch(route, workspace)
+        )
 
     def _find_route(self, host: str, path: str) -> document_module.Route | None:
         routes = self._by_host.get(host.lower())
--- a/src/hickorylead/forwarding/stalls.py
+++ b/src/hickorylead/forwarding/stalls.py
@@ -65,7 +65,7 @@
     basis: Basis
 
 
-def is_overdue(opened: state.Open, now: float) -> bool:
+def is_overdue(opened: state.PendingRequest, now: float) -> bool:
     """Says whether a call that is no stream has waited too long."""
     attempt = opened.attempt
     return (
@@ -76,7 +76,7 @@
     )
 
 
-def find_overdue(opened: state.Open) -> float:
+def find_overdue(opened: state.PendingRequest) -> float:
     """Returns when a call under way will have waited too long."""
     assert opened.attempt is not None
     objective_s = opened.request.route.objective_s
@@ -95,7 +95,7 @@
 
 def find_limit(
     replica: model.Replica,
-    engine: document_module.Engine,
+    engine: document_module.EngineProfile,
     largest_prompt: float,
 ) -> float:
     """Returns the silence that shows that a replica has stopped, in seconds.
@@ -106,17 +106,19 @@
         largest_prompt: Tokens of the largest prompts of its model lately.
     """
     figures = engine.find_model(replica.model)
-    pace = figures.pace if figures else 1.0
-    step_s = engine.step_s + engine.step_per_request_s * engine.slots
-    pass_s = step_s * engine.stride
-    reading_s = PROMPTS_BETWEEN * largest_prompt * engine.read_s
+    pace = figures.time_factor if figures else 1.0
+    step_s = (
+        engine.decode_step_s + engine.decode_step_per_request_s * engine.slots
+    )
+    pass_s = step_s * engine.steps_per_event
+    reading_s = PROMPTS_BETWEEN * largest_prompt * engine.prefill_per_token_s
     return pace * (STALL_PASSES * pass_s + reading_s)
 
 
 def find_stalled(
-    opened: list[state.Open],
-    book: health_module.HealthBook,
-    find_engine: Callable[[str], document_module.Engine | None],
+    opened: list[state.PendingRequest],
+    book: health_module.HealthTracker,
+    find_engine: Callable[[str], document_module.EngineProfile | None],
     *,
     factor: float,
     now: float,
@@ -130,7 +132,9 @@
         factor: How many times longer than usual to wait; see `find_factor`.
         now: Present time.
     """
-    by_replica: dict[str, list[state.Open]] = collections.defaultdict(list)
+    by_replica: dict[str, list[state.PendingRequest]] = collections.defaultdict(
+        list
+    )
     for request in opened:
         if request.attempt is not None and request.request.is_stream:
             by_replica[request.attempt.replica.name].append(request)
@@ -154,9 +158,9 @@
 
 
 def _find_basis(
-    requests: list[state.Open],
-    book: health_module.HealthBook,
-    engine: document_module.Engine,
+    requests: list[state.PendingRequest],
+    book: health_module.HealthTracker,
+    engine: document_module.EngineProfile,
     limit_s: float,
     now: float,
 ) -> Basis | None:
@@ -171,13 +175,13 @@
             running += 1
         else:
             waiting += 1
-            tokens += opened.request.terms.prompt_tokens
+            tokens += opened.request.metadata.prompt_tokens
             oldest_sent = min(oldest_sent, attempt.sent_at)
     attempt = requests[0].attempt
     assert attempt is not None
     replica = attempt.replica
     progress_at = book.get(replica).progress_at
-    limit_s += tokens * engine.read_s
+    limit_s += tokens * engine.prefill_per_token_s
     if running:
         factor = 1.0 if running > 1 else LONE_FACTOR
         is_silent = now - progress_at > limit_s * factor
--- a/src/hickorylead/forwarding/state.py
+++ b/src/hickorylead/forwarding/state.py
@@ -53,7 +53,7 @@
     replica: model.Replica
     sent_at: float
     heard_at: float
-    head: model.Head | None = None
+    head: model.ResponseHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
     cutter: stream.EventCutter | None = None
     has_given: bool = False
@@ -61,7 +61,7 @@
 
 
 @attrs.define
-class Open:
+class PendingRequest:
     """A request without a final answer.
 
     Attributes:
@@ -75,7 +75,7 @@
         failed: Replicas that it failed at.
         verdict: What is known of its former tries.
         started: Whether the caller has the head of the answer.
-        last_event: Id of the last event that the caller has.
+        last_event_id: Id of the last event that the caller has.
         offered: Whether it was ever sent to a replica.
         last: The last try, for the log.
         first_event_s: Time to the first event, in seconds; None if none came.
@@ -96,7 +96,7 @@
     failed: set[str] = attrs.field(factory=set)
     verdict: verdict_module.Verdict = verdict_module.Verdict.NOT_RUN
     started: bool = False
-    last_event: int = 0
+    last_event_id: int = 0
     offered: bool = False
     last: Attempt | None = None
     first_event_s: float | None = None
@@ -120,6 +120,6 @@
         if self.verdict is verdict_module.Verdict.NOT_RUN:
             return True
         return (
-            self.request.route.is_repeatable
+            self.request.route.is_retryable
             and self.runs < self.request.route.max_attempts
         )
--- a/src/hickorylead/forwarding/stream.py
+++ b/src/hickorylead/forwarding/stream.py
@@ -32,13 +32,13 @@
 class EventCutter:
     """Cuts one answer into events and drops those that the caller has."""
 
-    def __init__(self, last_event: int) -> None:
+    def __init__(self, last_event_id: int) -> None:
         """Makes a cutter at the start of an answer.
 
         Args:
-            last_event: Id of the last event that the caller has.
+            last_event_id: Id of the last event that the caller has.
         """
-        self.last_event = last_event
+        self.last_event_id = last_event_id
         self._rest = b""
 
     @property
@@ -58,13 +58,13 @@
             if number is None:
                 given.append(event)
                 continue
-            if number <= self.last_event:
+            if number <= self.last_event_id:
                 # A replica that was asked to go on may begin before.
                 continue
-            if number != self.last_event + 1:
+            if number != self.last_event_id + 1:
                 problem = "event_gap"
                 break
-            self.last_event = number
+            self.last_event_id = number
             given.append(event)
         self._rest = rest
         if len(rest) > MAX_EVENT_BYTES:
--- a/src/hickorylead/lease/zone.py
+++ b/src/hickorylead/lease/zone_lease.py
@@ -28,7 +28,7 @@
 NUMBER_STEP = 1 << 20
 
 
-class Lease:
+class ZoneLease:
     """One control process's part in the lease of its zone."""
 
     def __init__(
@@ -67,7 +67,7 @@
         self._next_try = now + TERM_S + self._spread()
 
     @property
-    def number(self) -> int:
+    def fencing_number(self) -> int:
         """The fencing number held, or last held."""
         return self._number
 
@@ -75,7 +75,7 @@
         """Says whether this process holds the lease now."""
         return now < self._held_until
 
-    def may_order(self, now: float) -> bool:
+    def may_issue_orders(self, now: float) -> bool:
         """Says whether orders may be given now.
 
         Some backend servers ignore fencing numbers. An order that the holder
@@ -88,7 +88,7 @@
             and self._number >= self._highest
         )
 
-    def observe(self, number: int) -> None:
+    def observe_fencing_number(self, number: int) -> None:
         """Takes note of a fencing number that a server or an entry has seen.
 
         After a restart of the whole zone the grantors know no number; the
@@ -176,7 +176,7 @@
         )
 
     def _count_reply(self, reply: messages.LeaseReply, now: float) -> None:
-        self.observe(reply.highest)
+        self.observe_fencing_number(reply.highest)
         if reply.round != self._round or not reply.granted:
             return
         self._granted.add(reply.grantor)
--- a/src/hickorylead/membership/listener.py
+++ b/src/hickorylead/membership/announcement_receiver.py
@@ -30,7 +30,7 @@
     return int.from_bytes(digest.digest(), "big")
 
 
-class Listener:
+class AnnouncementReceiver:
     """Announcements that one entry hears."""
 
     def __init__(self, *, entry: str, controls: tuple[str, ...]) -> None:
@@ -50,7 +50,7 @@
         """Returns the state of each server heard."""
         return [h.announcement.state for h in self._heard.values()]
 
-    def hear(
+    def receive(
         self, announcement: announcements.Announcement, now: float
     ) -> list[messages.Send]:
         """Takes an announcement; tells of it only if the state changed."""
--- a/src/hickorylead/membership/announcements.py
+++ b/src/hickorylead/membership/announcements.py
@@ -98,7 +98,7 @@
     cache: CacheEvents = CacheEvents()
 
 
-def check_state(state: ServerState) -> list[str]:
+def validate_state(state: ServerState) -> list[str]:
     """Returns what is wrong with an announced state; empty if nothing is."""
     problems = [
         f"{name} is empty"
--- a/src/hickorylead/membership/registry.py
+++ b/src/hickorylead/membership/registry.py
@@ -4,7 +4,11 @@
 
 import attrs
 
-from hickorylead.membership import announcements, listener, messages
+from hickorylead.membership import (
+    announcement_receiver,
+    announcements,
+    messages,
+)
 
 # An entry that died takes the announcements it held with it. Its servers
 # announce elsewhere within two of their periods; until then they are neither
@@ -23,13 +27,13 @@
         state: What it last said.
         entry: The entry that hears it.
         load: Its load, if it takes requests.
-        unheard_since: Since when no entry hears it; None while one does.
+        missing_since: Since when no entry hears it; None while one does.
     """
 
     state: announcements.ServerState
     entry: str
     load: announcements.Load = announcements.Load()
-    unheard_since: float | None = None
+    missing_since: float | None = None
 
 
 @attrs.define
@@ -56,7 +60,7 @@
     def add(self, state: announcements.ServerState) -> None:
         """Notes the state of a server that this entry hears."""
         self.remove(state.vm)
-        self.checks[state.vm] = listener.hash_state(state)
+        self.checks[state.vm] = announcement_receiver.hash_state(state)
         self.check ^= self.checks[state.vm]
 
     def remove(self, vm: str) -> None:
@@ -64,7 +68,7 @@
         self.check ^= self.checks.pop(vm, 0)
 
 
-class Registry:
+class MembershipRegistry:
     """Present servers of one zone."""
 
     def __init__(self) -> None:
@@ -110,9 +114,9 @@
             self._mark_unheard(record, now)
         for vm in sorted(self._unheard):
             member = self.members.get(vm)
-            if member is None or member.unheard_since is None:
+            if member is None or member.missing_since is None:
                 self._unheard.discard(vm)
-            elif now - member.unheard_since > MOVE_GRACE_S:
+            elif now - member.missing_since > MOVE_GRACE_S:
                 self._remove(vm)
 
     def _touch(self, entry: str, now: float) -> EntryRecord:
@@ -140,8 +144,8 @@
     def _mark_unheard(self, record: EntryRecord, now: float) -> None:
         for vm in record.checks:
             member = self.members.get(vm)
-            if member is not None and member.unheard_since is None:
-                member.unheard_since = now
+            if member is not None and member.missing_since is None:
+                member.missing_since = now
                 self._unheard.add(vm)
                 self.changes += 1
 
@@ -162,7 +166,7 @@
         )
         if agrees:
             for vm in record.checks:
-                self.members[vm].unheard_since = None
+                self.members[vm].missing_since = None
             return []
         if now - record.asked_at < RESEND_PERIOD_S:
             return []
--- a/src/hickorylead/notices/teller.py
+++ b/src/hickorylead/notices/notice_reporter.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from hickorylead.fleet import registry as registry_module
-    from hickorylead.notices import book as book_module
+    from hickorylead.notices import notice_store as notice_store_module
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
@@ -18,30 +18,30 @@
 RETELL_PERIOD_S = 0.5
 
 
-class Teller:
+class NoticeReporter:
     """The news of one gateway for its home."""
 
     def __init__(
         self,
         node: str,
         *,
-        book: book_module.NoticeBook,
+        notices: notice_store_module.NoticeStore,
         registry: registry_module.Registry,
     ) -> None:
         """Makes a teller that has told nothing.
 
         Args:
             node: Name of the gateway.
-            book: The notices that it got.
+            notices: The notices that it got.
             registry: Backend servers, as control nodes tell of them.
         """
         self._node = node
-        self._book = book
+        self._book = notices
         self._registry = registry
         self._told: set[messages.Leave] = set()
         self._next_retell = -1e9
 
-    def tell(self, home: str, now: float) -> list[Sent]:
+    def collect_messages(self, home: str, now: float) -> list[Sent]:
         """Returns what the home is to be told now.
 
         Args:
--- a/src/hickorylead/notices/book.py
+++ b/src/hickorylead/notices/notice_store.py
@@ -61,7 +61,7 @@
         return self.refused_at + self.backoff_s
 
 
-class NoticeBook:
+class NoticeStore:
     """Notices by server, as one gateway got them."""
 
     def __init__(self) -> None:
@@ -75,10 +75,10 @@
         """Returns how many notices may be in force."""
         return len(self._notices) + len(self._shared)
 
-    def note_answer(
+    def record_response(
         self,
         replica: model.Replica,
-        head: model.Head,
+        head: model.ResponseHead,
         *,
         sent_at: float,
         now: float,
@@ -150,12 +150,14 @@
         if self._shared.take(pause, now):
             self._untold[pauses_module.make_key(pause)] = None
 
-    def find_pause(self, replica: model.Replica, now: float) -> float:
+    def get_pause_remaining_s(
+        self, replica: model.Replica, now: float
+    ) -> float:
         """Returns how long a replica wants no request yet, in seconds."""
         notice = self._find(replica)
         return max(0.0, notice.paused_until - now) if notice else 0.0
 
-    def is_doubted(
+    def is_likely_to_refuse(
         self, replica: model.Replica, now: float, *, may_probe: bool
     ) -> bool:
         """Says whether a replica is likely to turn a request away.
@@ -173,7 +175,9 @@
         )
         return now < until or (not may_probe and now < until + DOUBT_S)
 
-    def take_news(self, pauses: Iterable[messages.Pause], now: float) -> None:
+    def merge_pauses(
+        self, pauses: Iterable[messages.Pause], now: float
+    ) -> None:
         """Takes pauses that other gateways were asked for."""
         for pause in pauses:
             self._shared.take(pause, now)
@@ -202,7 +206,7 @@
         """Returns how many servers want no request now."""
         return sum(n.paused_until > now for n in self._notices.values())
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drops what is over; call it now and then."""
         for server, notice in list(self._notices.items()):
             if _find_end(notice) <= now:
@@ -225,7 +229,7 @@
         if notice is not None and replica.born < notice.born:
             return None
         if notice is None and len(self._notices) >= MAX_NOTICES:
-            self.forget(now)
+            self.prune(now)
         if notice is None and len(self._notices) >= MAX_NOTICES:
             first = min(
                 self._notices, key=lambda s: _find_end(self._notices[s])
--- a/src/hickorylead/notices/exchange.py
+++ b/src/hickorylead/notices/pause_relay.py
@@ -21,7 +21,7 @@
 MAX_TOLD = 12
 
 
-class Exchange:
+class PauseRelay:
     """The pauses that one coordinator knows of."""
 
     def __init__(self, node: str) -> None:
@@ -37,15 +37,15 @@
         self._for_coordinators: dict[pauses_module.PauseKey, None] = {}
         self._next_tell = -1e9
 
-    def take(
-        self, news: messages.PauseNews, *, is_passed: bool, now: float
+    def merge(
+        self, news: messages.PauseNews, *, is_forwarded: bool, now: float
     ) -> None:
         """Takes pauses.
 
         Args:
             news: The pauses.
-            is_passed: Whether another coordinator tells them, and has told all
-                coordinators.
+            is_forwarded: Whether another coordinator tells them, and has told
+                all coordinators.
             now: Present time.
         """
         found = [
@@ -54,10 +54,10 @@
             if self._pauses.take(pause, now)
         ]
         self._for_gateways |= dict.fromkeys(found)
-        if not is_passed:
+        if not is_forwarded:
             self._for_coordinators |= dict.fromkeys(found)
 
-    def tell(
+    def collect_messages(
         self,
         *,
         gateways: Iterable[str],
@@ -73,14 +73,14 @@
             *self._tell(coordinators, self._for_coordinators, now),
         ]
 
-    def describe_new(self, gateway: str, now: float) -> list[Sent]:
+    def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
         """Returns what a gateway is told that has started or turned here."""
         found = self._pauses.describe_all(now)
         if not found:
             return []
         return [(gateway, messages.PauseNews(self._node, found))]
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drops what is over; call it now and then."""
         self._pauses.forget(now)
 
--- a/src/hickorylead/placement/groups.py
+++ b/src/hickorylead/placement/groups.py
@@ -46,7 +46,7 @@
         return len(self.vms)
 
 
-def is_whole(group: Group, members: Mapping[str, registry.Member]) -> bool:
+def is_ready(group: Group, members: Mapping[str, registry.Member]) -> bool:
     """Says whether every VM of a group is present and ready to serve.
 
     Only what the VMs announce counts: an order may have been lost, refused,
--- a/src/hickorylead/placement/orders.py
+++ b/src/hickorylead/placement/orders.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Give:
+class SendOrder:
     """Effect: give an order to its server, unless the lease has ended."""
 
     order: Order
--- a/src/hickorylead/placement/planner.py
+++ b/src/hickorylead/placement/planner.py
@@ -49,7 +49,7 @@
     """An order given, not yet seen in an announcement."""
 
     order: orders.Order
-    given_at: float
+    sent_at: float
 
 
 class Planner:
@@ -72,7 +72,7 @@
         self._ranks: dict[str, int] = {}
         self._fence = 0
         self._now = 0.0
-        self._given: list[orders.Give] = []
+        self._given: list[orders.SendOrder] = []
 
     def adopt(self, members: dict[str, registry.Member]) -> None:
         """Takes over what runs; to be called when the lease is new."""
@@ -87,7 +87,7 @@
         shares: list[tuple[model.Service, int]],
         fence: int,
         now: float,
-    ) -> list[orders.Give]:
+    ) -> list[orders.SendOrder]:
         """Returns the orders that the present state asks for.
 
         Args:
@@ -127,7 +127,7 @@
 
     def is_serving(self, group: Group) -> bool:
         """Says whether entries may send new work to a group."""
-        return group.draining_since is None and groups_module.is_whole(
+        return group.draining_since is None and groups_module.is_ready(
             group, self._members
         )
 
@@ -136,7 +136,7 @@
         serving = {
             vm
             for group in self.groups.values()
-            if groups_module.is_whole(group, self._members)
+            if groups_module.is_ready(group, self._members)
             for vm in group.vms
         }
         return sum(
@@ -159,7 +159,7 @@
             for rank, vm in enumerate(group.vms):
                 if vm and not self._belongs(group, rank, vm):
                     group.vms[rank] = ""
-            if groups_module.is_whole(group, self._members):
+            if groups_module.is_ready(group, self._members):
                 group.was_whole = True
             if all(group.vms):
                 group.broken_since = None
@@ -360,7 +360,7 @@
             for g in self.groups.values()
             if g.draining_since is None
             and g.broken_since is None
-            and not groups_module.is_whole(g, self._members)
+            and not groups_module.is_ready(g, self._members)
         )
 
     def _find_domain(self, service: str, size: int, weights: str) -> str | None:
@@ -410,7 +410,7 @@
             and vm not in taken
             and vm not in self._pending
             and vm not in self._drained
-            and m.unheard_since is None
+            and m.missing_since is None
             and (domain is None or m.state.domain == domain)
         ]
         return [vm for _, vm in sorted(free)]
@@ -456,7 +456,7 @@
                 self._give(pending.order)
 
     def _is_late(self, vm: str) -> bool:
-        return self._now - self._pending[vm].given_at >= ORDER_RETRY_S
+        return self._now - self._pending[vm].sent_at >= ORDER_RETRY_S
 
     # Orders.
 
@@ -490,7 +490,7 @@
     def _give(self, order: orders.Order) -> None:
         order = attrs.evolve(order, fence=self._fence)
         self._pending[order.vm] = Pending(order, self._now)
-        self._given.append(orders.Give(order))
+        self._given.append(orders.SendOrder(order))
 
 
 def _is_done(order: orders.Order, state: announcements.ServerState) -> bool:
--- a/src/hickorylead/placement/takeover.py
+++ b/src/hickorylead/placement/takeover.py
@@ -18,7 +18,7 @@
 
 # A loss of this length is no longer a restart or a short cut; loading weights
 # for a shorter one would cost more than it gives.
-TAKEOVER_S = 60.0
+TAKEOVER_DELAY_S = 60.0
 # A zone that is back needs time to load; until then its replicas are kept.
 GIVE_BACK_S = 30.0
 
@@ -45,11 +45,11 @@
         self._others = {z: _Zone(now) for z in zones if z != zone}
 
     @property
-    def lost(self) -> tuple[str, ...]:
+    def lost_zones(self) -> tuple[str, ...]:
         """Zones that are gone, sorted."""
         return tuple(sorted(z for z, s in self._others.items() if s.is_lost))
 
-    def hear(self, zone: str, now: float) -> None:
+    def record_heartbeat(self, zone: str, now: float) -> None:
         """Notes a sign of life of another zone."""
         state = self._others.get(zone)
         if state is None:
@@ -61,7 +61,7 @@
     def tick(self, now: float) -> None:
         """Lets time pass."""
         for state in self._others.values():
-            if now - state.heard_at > TAKEOVER_S:
+            if now - state.heard_at > TAKEOVER_DELAY_S:
                 state.is_lost, state.back_since = True, None
             elif (
                 state.back_since is not None
@@ -77,10 +77,10 @@
         The zones that are left split each lost share evenly; who gets the
         remainder follows from the order of their names.
         """
-        left = sorted({*self._others, self._zone} - set(self.lost))
+        left = sorted({*self._others, self._zone} - set(self.lost_zones))
         place = left.index(self._zone)
         own = configuration.list_shares(self._zone)
-        for zone in self.lost:
+        for zone in self.lost_zones:
             taken = {
                 service.name: wanted // len(left)
                 + (1 if place < wanted % len(left) else 0)
--- a/src/hickorylead/platform/control.py
+++ b/src/hickorylead/platform/control.py
@@ -20,7 +20,7 @@
 MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 
 
-def make_app(shell: coordinator.CoordinatorShell) -> applications.Starlette:
+def make_app(shell: coordinator.CoordinatorProcess) -> applications.Starlette:
     """Returns the interface of a coordinator."""
     views = _Views(shell)
     return applications.Starlette(
@@ -38,7 +38,7 @@
 
 
 class _Views:
-    def __init__(self, shell: coordinator.CoordinatorShell) -> None:
+    def __init__(self, shell: coordinator.CoordinatorProcess) -> None:
         self._shell = shell
 
     async def hear(self, request: requests.Request) -> responses.Response:
@@ -47,7 +47,7 @@
             return _refuse(413, "the body is too large")
         match servers.read_heartbeat(request.path_params["name"], body):
             case result.Success(instance):
-                self._shell.hear(instance)
+                self._shell.receive_heartbeat(instance)
                 return _answer({})
             case result.Failure(problem):
                 return _refuse(400, problem)
@@ -57,7 +57,7 @@
         body = await _read_body(request, MAX_HEARTBEAT_BYTES)
         match servers.read_born(body or b""):
             case result.Success(born):
-                self._shell.end(request.path_params["name"], born)
+                self._shell.deregister(request.path_params["name"], born)
                 return _answer({})
             case result.Failure(problem):
                 return _refuse(400, problem)
@@ -69,8 +69,8 @@
             return _refuse(413, "the configuration is too large")
         match documents.read_document(body):
             case result.Success(found):
-                lasts = await self._shell.replace(
-                    found.version, document.pack_content(body)
+                lasts = await self._shell.replace_configuration(
+                    found.version, document.compress_content(body)
                 )
                 if lasts:
                     return _answer({})
@@ -80,11 +80,11 @@
         raise AssertionError("a result is a success or a failure")
 
     async def read(self, _: requests.Request) -> responses.Response:
-        found = await self._shell.read()
+        found = await self._shell.read_configuration()
         if found is None or not found[0]:
             return _refuse(503, "the newest configuration is not known here")
         return responses.Response(
-            document.unpack_content(found[1]), media_type="application/json"
+            document.decompress_content(found[1]), media_type="application/json"
         )
 
 
