--- a/src/hickorylead/platform/documents.py
+++ b/src/hickorylead/platform/documents.py
@@ -13,16 +13,16 @@
 _MS = 0.001
 
 _KINDS = {
-    "streaming": document.Kind.STREAM,
-    "idempotent": document.Kind.IDEMPOTENT,
-    "non_idempotent": document.Kind.NON_IDEMPOTENT,
+    "streaming": document.RouteKind.STREAM,
+    "idempotent": document.RouteKind.IDEMPOTENT,
+    "non_idempotent": document.RouteKind.NON_IDEMPOTENT,
 }
 
 
 def read_packed(packed: bytes) -> result.Result[document.Document, str]:
     """Returns the configuration in bytes that were packed for the log."""
     try:
-        return read_document(document.unpack_content(packed))
+        return read_document(document.decompress_content(packed))
     except ValueError as error:
         return result.Failure(str(error))
 
@@ -54,12 +54,18 @@
         routes=tuple(_read_route(route) for route in found["Routes"]),
         services=tuple(_read_service(s) for s in found["Services"]),
         limits=document.Limits(
-            header_bytes=int(
-                limits.get("MaxHeaderBytes", default.header_bytes)
+            max_header_bytes=int(
+                limits.get("MaxHeaderBytes", default.max_header_bytes)
+            ),
+            max_body_bytes=int(
+                limits.get("MaxBodyBytes", default.max_body_bytes)
+            ),
+            header_timeout_s=_read_ms(
+                limits, "HeaderTimeoutMs", default.header_timeout_s
+            ),
+            idle_timeout_s=_read_ms(
+                limits, "IdleTimeoutMs", default.idle_timeout_s
             ),
-            body_bytes=int(limits.get("MaxBodyBytes", default.body_bytes)),
-            header_s=_read_ms(limits, "HeaderTimeoutMs", default.header_s),
-            idle_s=_read_ms(limits, "IdleTimeoutMs", default.idle_s),
         ),
         workspaces=tuple(
             document.Workspace(
@@ -91,7 +97,7 @@
         targets=targets,
         timeout_s=float(found["TimeoutMs"]) * _MS,
         objective_s=_read_ms(found, "TargetLatencyMs", 1.0),
-        pause_s=_read_ms(found, "GapTargetMs", 0.0),
+        max_event_gap_s=_read_ms(found, "GapTargetMs", 0.0),
         priority=int(found.get("Priority", 1)),
         max_attempts=max(1, int(found.get("MaxAttempts", 1))),
         # The wire says which routes are open to everybody.
@@ -113,32 +119,34 @@
     )
 
 
-def _read_engine(found: dict[str, Any]) -> document.Engine:
-    return document.Engine(
+def _read_engine(found: dict[str, Any]) -> document.EngineProfile:
+    return document.EngineProfile(
         slots=int(found["Slots"]),
-        kv_tokens=int(found.get("KvCapacityTokens", 0)),
-        step_s=float(found["step_ms"]) * _MS,
-        step_per_request_s=float(found.get("per_seq_ms", 0.0)) * _MS,
+        kv_cache_tokens=int(found.get("KvCapacityTokens", 0)),
+        decode_step_s=float(found["step_ms"]) * _MS,
+        decode_step_per_request_s=float(found.get("per_seq_ms", 0.0)) * _MS,
         # Given for 1,000 tokens of context.
-        step_per_token_s=float(found.get("context_per_k", 0.0)) * _MS / 1000,
-        read_s=1.0 / max(1.0, float(found["read_per_s"])),
-        chunk_tokens=int(found.get("chunk", 2048)),
-        stride=int(found.get("Stride", 1)),
+        decode_step_per_context_token_s=float(found.get("context_per_k", 0.0))
+        * _MS
+        / 1000,
+        prefill_per_token_s=1.0 / max(1.0, float(found["read_per_s"])),
+        prefill_chunk_tokens=int(found.get("chunk", 2048)),
+        steps_per_event=int(found.get("Stride", 1)),
         models=tuple(
-            document.ModelFigures(
+            document.ModelProfile(
                 name=values.read_text(model["Name"]),
                 group_size=int(model["size"]),
-                share=float(model.get("Share", 0.0)),
-                pace=float(model.get("pace", 1.0)),
+                initial_vm_share=float(model.get("Share", 0.0)),
+                time_factor=float(model.get("pace", 1.0)),
                 load_s=float(model.get("LoadS", 0.0)),
-                warm_s=float(model.get("WarmS", 0.0)),
+                staged_load_s=float(model.get("WarmS", 0.0)),
             )
             for model in found.get("Models") or ()
         ),
-        loads_per_s=float(found.get("LoadsPerS", 1.0)),
-        loads_at_once=int(found.get("loads_at_once", 0)),
-        staged_models=int(found.get("RetainedCount", 1)),
-        form_s=float(found.get("FormMs", 0.0)) * _MS,
+        max_load_starts_per_s=float(found.get("LoadsPerS", 1.0)),
+        max_concurrent_loads=int(found.get("loads_at_once", 0)),
+        max_staged_models=int(found.get("RetainedCount", 1)),
+        group_start_s=float(found.get("FormMs", 0.0)) * _MS,
     )
 
 
--- a/src/hickorylead/platform/headers.py
+++ b/src/hickorylead/platform/headers.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from hickorylead.forwarding import dialect, events, model
+from hickorylead.forwarding import events, header_codec, model
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -71,10 +71,12 @@
 )
 
 
-class Headers(dialect.Dialect):
+class PlatformHeaderCodec(header_codec.HeaderCodec):
     """Requests and answers, in the platform's words."""
 
-    def read_terms(self, headers: Iterable[model.Header]) -> model.Terms | str:
+    def decode_metadata(
+        self, headers: Iterable[model.Header]
+    ) -> model.RequestMetadata | str:
         """Returns what a caller says, or what is wrong with its headers."""
         found = dict(headers)
         try:
@@ -82,19 +84,19 @@
             budget = found.get(_BUDGET)
             key = found.get(_KEY, b"").decode("latin-1")
             scheme, _, token = key.partition(" ")
-            return model.Terms(
+            return model.RequestMetadata(
                 attempt_id=found.get(_ATTEMPT, b"").decode("latin-1"),
                 budget_s=None if budget is None else int(budget) / 1000.0,
                 key=token.strip() if scheme.lower() == "token" else "",
                 model=found.get(_MODEL, b"").decode("latin-1"),
                 prompt_tokens=prompt,
-                answer_tokens=answer,
-                last_event=int(found.get(_LAST_EVENT, b"0")),
+                max_output_tokens=answer,
+                last_event_id=int(found.get(_LAST_EVENT, b"0")),
             )
         except ValueError as error:
             return f"a header cannot be read: {error}"
 
-    def list_headers(
+    def list_forwarded_headers(
         self, headers: Iterable[model.Header], workspace: str
     ) -> tuple[model.Header, ...]:
         """Returns the headers to pass on, whatever the attempt."""
@@ -114,13 +116,13 @@
             passed.append((_WORKSPACE, workspace.encode("latin-1")))
         return tuple(passed)
 
-    def write_head(self, attempt: events.Open) -> bytes:
+    def encode_request_head(self, attempt: events.StartAttempt) -> bytes:
         """Returns the head of a request to a replica."""
         request = attempt.request
         lines = [request.method.encode() + b" " + request.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in request.headers]
-        if attempt.last_event:
-            lines.append(_LAST_EVENT + b": %d" % attempt.last_event)
+        if attempt.last_event_id:
+            lines.append(_LAST_EVENT + b": %d" % attempt.last_event_id)
         lines.append(_BUDGET + b": %d" % max(1, int(attempt.budget_s * 1000)))
         if request.route.has_prompts:
             lines.append(_RANK + b": %d" % attempt.rank)
@@ -129,29 +131,29 @@
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def read_head(
+    def decode_response_head(
         self, status: int, headers: Sequence[model.Header]
-    ) -> model.Head:
+    ) -> model.ResponseHead:
         """Returns the head of a replica's answer."""
         found = dict(headers)
         encoding = found.get(b"content-encoding", b"").lower()
         unreadable: list[str] = []
-        return model.Head(
+        return model.ResponseHead(
             status=status,
             headers=tuple(h for h in headers if h[0] not in _NOT_GIVEN_BACK),
-            echo=found.get(_ATTEMPT, b"").decode("latin-1"),
-            is_sealed=_SEAL in found,
+            echoed_attempt_id=found.get(_ATTEMPT, b"").decode("latin-1"),
+            is_signed=_SEAL in found,
             # 421 says by itself that another server has the address, or that
             # the group's head is elsewhere.
             not_run=_NOT_RUN in found or status == 421,
-            is_encoded=encoding not in (b"", b"identity"),
+            has_content_encoding=encoding not in (b"", b"identity"),
             load=_read(_read_load, found, _LOAD, unreadable),
             limit_per_s=_read(_read_amount, found, _LIMIT, unreadable),
             retry_after_s=_read(_read_pause, found, _RETRY_AFTER, unreadable)
             if status in _PAUSING
             else None,
             is_leaving=found.get(_LEAVING, b"0") not in (b"", b"0"),
-            unreadable=tuple(unreadable),
+            malformed_headers=tuple(unreadable),
             # A 421 names the server that has the address; it is not at fault.
             faulty_server=found.get(_FAULTY_SERVER, b"").decode("latin-1")
             if status == 503
--- a/src/hickorylead/platform/program.py
+++ b/src/hickorylead/platform/program.py
@@ -73,9 +73,9 @@
     from hickorylead.runtime import gateway
 
     _keep_imports()
-    shell = gateway.GatewayShell(
+    shell = gateway.GatewayProcess(
         _make_gateway_settings(found),
-        dialect=headers.Headers(),
+        dialect=headers.PlatformHeaderCodec(),
         read_document=documents.read_packed,
         reload=lambda: _make_gateway_settings(
             settings_module.load_settings("gateway")
@@ -93,9 +93,9 @@
     from hickorylead.runtime import coordinator
 
     _keep_imports()
-    shell = coordinator.CoordinatorShell(
+    shell = coordinator.CoordinatorProcess(
         _make_coordinator_settings(found),
-        dialect=servers.Servers(),
+        dialect=servers.PlatformServerCodec(),
         read_document=documents.read_packed,
         make_app=control.make_app,
         reload=lambda: _make_coordinator_settings(
@@ -128,7 +128,7 @@
         seeds=found.seeds,
         metrics_port=METRICS_PORT,
         grace_s=found.grace_s,
-        retries=found.retries,
+        retry_limits=found.retries,
     )
 
 
@@ -147,8 +147,8 @@
         peer_port=found.peer_port,
         seeds=found.seeds,
         metrics_port=METRICS_PORT,
-        may_found=found.is_first_start,
+        may_bootstrap=found.is_first_start,
         data_folder=found.data_folder,
         heartbeat_s=found.heartbeat_s,
-        lost_disks=found.lost_disks,
+        max_lost_disks=found.lost_disks,
     )
--- a/src/hickorylead/platform/servers.py
+++ b/src/hickorylead/platform/servers.py
@@ -8,7 +8,7 @@
 import orjson
 from returns import result
 
-from hickorylead.fleet import dialect, instances, orders
+from hickorylead.fleet import instances, orders, server_codec
 from hickorylead.platform import headers as headers_module, values
 
 if TYPE_CHECKING:
@@ -118,33 +118,35 @@
     )
 
 
-class Servers(dialect.ServerDialect):
+class PlatformServerCodec(server_codec.ServerCodec):
     """Orders and questions, in the platform's words."""
 
-    def write_order(self, give: orders.Give) -> dialect.Call:
+    def encode_order(self, give: orders.SendOrder) -> server_codec.HttpCall:
         """Returns the call that gives an order."""
         body = _write_order(give.order)
         if give.expected is not None:
             # The number of orders that the server must have accepted.
             body["Expected"] = give.expected
-        return dialect.Call("POST", "/order", orjson.dumps(body))
+        return server_codec.HttpCall("POST", "/order", orjson.dumps(body))
 
-    def write_report_question(self) -> dialect.Call:
+    def encode_report_request(self) -> server_codec.HttpCall:
         """Returns the call that asks for a server's state."""
-        return dialect.Call("GET", "/report")
+        return server_codec.HttpCall("GET", "/report")
 
-    def read_notice(
+    def decode_notice(
         self, status: int, headers: Sequence[tuple[bytes, bytes]]
-    ) -> dialect.Notice:
+    ) -> server_codec.Notice:
         """Returns what an answer says about calls to come."""
-        head = headers_module.Headers().read_head(status, headers)
-        return dialect.Notice(head.retry_after_s, head.is_leaving)
+        head = headers_module.PlatformHeaderCodec().decode_response_head(
+            status, headers
+        )
+        return server_codec.Notice(head.retry_after_s, head.is_leaving)
 
-    def read_report(self, body: bytes) -> dialect.Report | None:
+    def decode_report(self, body: bytes) -> server_codec.ServerReport | None:
         """Returns what a server tells of its state; None if unreadable."""
         try:
             found = values.read_table(orjson.loads(body))
-            return dialect.Report(
+            return server_codec.ServerReport(
                 # On this call it counts orders; in heartbeats, heartbeats.
                 accepted=values.read_whole(found["Sequence"]),
                 born=values.read_whole(found.get("born", 0)),
--- a/src/hickorylead/platform/settings.py
+++ b/src/hickorylead/platform/settings.py
@@ -136,7 +136,7 @@
         ),
         retries=budget.RetryLimits(
             ratio=reader.read("Bounds.BudgetRatio", float, 0.2, optional=True),
-            extra=reader.read(
+            burst=reader.read(
                 "Bounds.BudgetExtra", float, 100.0, optional=True
             ),
         ),
--- a/src/hickorylead/ratelimits/exchange.py
+++ b/src/hickorylead/ratelimits/permit_broker.py
@@ -21,7 +21,7 @@
 
     from hickorylead.fleet import (
         gateways as gateways_module,
-        neighbours as neighbours_module,
+        peer_directory as peer_directory_module,
         registry as registry_module,
     )
 
@@ -31,7 +31,7 @@
 RETELL_PERIOD_S = 10.0
 
 
-class Exchange:
+class PermitBroker:
     """The limits that one coordinator knows, and the permits it gives."""
 
     def __init__(
@@ -39,7 +39,7 @@
         node: str,
         *,
         registry: registry_module.Registry,
-        neighbours: neighbours_module.Neighbours,
+        neighbours: peer_directory_module.PeerDirectory,
         gateways: gateways_module.Gateways,
     ) -> None:
         """Makes an exchange that knows of no limit.
@@ -58,7 +58,7 @@
         self._allocator = allocator.Allocator()
         self._next_retell = 0.0
 
-    def take_news(self, news: messages.LimitNews, now: float) -> list[Sent]:
+    def merge_limits(self, news: messages.LimitNews, now: float) -> list[Sent]:
         """Takes limits; returns what others are to be told.
 
         What another coordinator tells, it has told all coordinators.
@@ -67,12 +67,12 @@
         if not found:
             return []
         told = messages.LimitNews(self._node, self._table.describe(found, now))
-        targets = self._gateways.list_own(now)
+        targets = self._gateways.list_homed(now)
         if news.sender not in self._neighbours.known:
             targets += self._neighbours.list_alive(now)
         return [(node, told) for node in targets]
 
-    def answer(
+    def handle_request(
         self,
         request: messages.PermitRequest,
         sender: str,
@@ -90,7 +90,7 @@
         """
         # The gateway may know of a limit that its home has not heard of.
         limits = tuple(ask.limit for ask in request.asks)
-        sent = self.take_news(messages.LimitNews(sender, limits), now)
+        sent = self.merge_limits(messages.LimitNews(sender, limits), now)
         asks = collections.defaultdict(list)
         for ask in request.asks:
             # What another coordinator passed on is decided here, whoever is in
@@ -111,7 +111,7 @@
             sent.append((sender, reply))
         return sent
 
-    def describe_new(self, gateway: str, now: float) -> list[Sent]:
+    def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
         """Returns what a gateway is told that has started or turned here.
 
         It would send freely to servers in need until each told it.
@@ -125,7 +125,7 @@
         self._next_retell = now + RETELL_PERIOD_S
         self._table.forget(now)
         self._allocator.forget(now)
-        targets = self._gateways.list_own(now)
+        targets = self._gateways.list_homed(now)
         return self._describe_all(
             [*targets, *self._neighbours.list_alive(now)], now
         )
@@ -145,7 +145,7 @@
         server = ask.limit.server
         known = self._registry.instances.get(server)
         zone = known.zone if known else nodes.get_zone(self._node)
-        return self._neighbours.find_in_charge(zone, server, now)
+        return self._neighbours.find_owner(zone, server, now)
 
     def _allot(
         self, ask: messages.Ask, is_fresh: bool, now: float
--- a/src/hickorylead/ratelimits/permits.py
+++ b/src/hickorylead/ratelimits/permit_pool.py
@@ -61,7 +61,7 @@
     alone_at: float | None = None
 
 
-class Permits:
+class PermitPool:
     """The limits that a gateway knows, and its permits."""
 
     def __init__(self, node: str, *, first: int, rng: random.Random) -> None:
@@ -87,20 +87,20 @@
         self._is_needed = False
         self._is_homeless = False
         self._heard_here: dict[str, float] = {}
-        self._gateways = budget.FIRST_GATEWAYS
+        self._gateways = budget.INITIAL_GATEWAY_COUNT
 
-    def note_gateways(self, count: int) -> None:
+    def set_gateway_count(self, count: int) -> None:
         """Takes how many gateways there are."""
         self._gateways = max(1, count)
 
     @property
-    def is_needed(self) -> bool:
+    def has_urgent_demand(self) -> bool:
         """Whether a request waits for a permit that was not asked for yet."""
         return self._is_needed
 
     # What servers tell.
 
-    def note_answer(
+    def record_response(
         self, replica: model.Replica, limit_per_s: float | None, now: float
     ) -> bool:
         """Takes what an answer told of a limit; says whether it is news."""
@@ -120,7 +120,7 @@
         self._is_untold = self._is_untold or is_news
         return is_news
 
-    def take_news(
+    def merge_limits(
         self, limits: Iterable[messages.RateLimit], now: float
     ) -> None:
         """Takes limits that another node tells."""
@@ -129,7 +129,9 @@
 
     # Requests.
 
-    def find_limit(self, replica: model.Replica, now: float) -> float | None:
+    def get_limit_per_s(
+        self, replica: model.Replica, now: float
+    ) -> float | None:
         """Returns the requests a second that a replica takes; None if any."""
         known = self.table.find(replica.name, replica.born, now)
         return known.per_s if known else None
@@ -145,7 +147,7 @@
         self._drop_expired(account, now)
         return bool(account.expiries) or self._has_own(account, known, now)
 
-    def spend(self, replica: model.Replica, now: float) -> None:
+    def consume_permit(self, replica: model.Replica, now: float) -> None:
         """Takes that a replica is sent a request."""
         if self.table.find(replica.name, replica.born, now) is None:
             return
@@ -155,7 +157,7 @@
         else:
             account.alone -= 1.0
 
-    def want(
+    def request_permit(
         self, replica: model.Replica, *, is_needed: bool, now: float
     ) -> None:
         """Takes that a request could have used a permit for a replica.
@@ -174,13 +176,15 @@
             account.wanted = min(allocator.MAX_PERMITS, account.wanted + 1)
         self._is_needed = self._is_needed or is_needed
 
-    def find_wait(self, replica: model.Replica, now: float) -> float:
+    def get_wait_remaining_s(self, replica: model.Replica, now: float) -> float:
         """Returns when there may be a permit, in seconds; 0 if unknown."""
         return max(0.0, self._find(replica.name).denied_until - now)
 
     # Coordinators.
 
-    def tell(self, home: str, now: float) -> list[tuple[str, messages.Message]]:
+    def collect_messages(
+        self, home: str, now: float
+    ) -> list[tuple[str, messages.Message]]:
         """Returns what the home is to be told now.
 
         Args:
@@ -221,7 +225,7 @@
             sent.append((home, request))
         return sent
 
-    def take_reply(self, reply: messages.PermitReply, now: float) -> bool:
+    def handle_reply(self, reply: messages.PermitReply, now: float) -> bool:
         """Takes permits; says whether there are any, or a wait is over."""
         # The time counts from the request: a reply that was held up on its
         # way may not bring permits that were given out long ago.
@@ -239,7 +243,7 @@
                 account.expiries.extend([expires_at] * permits.count)
         return True
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drops what is over; call it now and then."""
         self.table.forget(now)
         for number, asked_at in list(self._asked.items()):
--- a/src/hickorylead/requests/dispatcher.py
+++ b/src/hickorylead/requests/dispatcher.py
@@ -12,8 +12,12 @@
 from hickorylead import verdict as verdict_module
 from hickorylead.admission import budget as budget_module, queue
 from hickorylead.claims import claimant, messages as claim_messages
-from hickorylead.crashes import contents, guard as guard_module, ledger
-from hickorylead.requests import events, model, outcomes, state, trail
+from hickorylead.crashes import (
+    crash_guard as crash_guard_module,
+    crash_history,
+    request_hash,
+)
+from hickorylead.requests import events, history, model, outcomes, state
 from hickorylead.routing import policy as policy_module
 
 if TYPE_CHECKING:
@@ -37,10 +41,10 @@
         *,
         entry: str,
         controls: Mapping[str, Sequence[str]],
-        table: table.Table,
-        book: health.HealthBook,
-        policy: policy_module.Policy,
-        guard: guard_module.Guard,
+        table: table.ReplicaTable,
+        book: health.HealthTracker,
+        policy: policy_module.LoadBalancingPolicy,
+        guard: crash_guard_module.CrashGuard,
     ) -> None:
         """Makes a dispatcher without requests.
 
@@ -59,12 +63,12 @@
         self._policy = policy
         self._guard = guard
         self._budget = budget_module.RetryBudget()
-        self._open: dict[str, state.Open] = {}
+        self._open: dict[str, state.PendingRequest] = {}
         self._by_attempt: dict[str, str] = {}
         self._claiming: set[str] = set()
         self._duration_s: dict[str, float] = {}
         self.queues: dict[str, queue.FairQueue] = {}
-        self.trails = trail.TrailBook()
+        self.trails = history.HistoryStore()
         self.draining = False
 
     def count_open(self) -> int:
@@ -81,13 +85,13 @@
         match event:
             case events.FrameArrived():
                 return self._take_frame(event, now)
-            case events.Arrive(request, wall):
+            case events.RequestArrived(request, wall):
                 return self._arrive(request, wall, configuration, now)
             case events.AnswerArrived():
                 return self._take_answer(event, now)
             case events.AttemptFailed():
                 return self._take_failure(event, now)
-            case events.CallerLeft(request_id):
+            case events.CallerDisconnected(request_id):
                 return self._leave(request_id, now)
 
     def receive_claim(
@@ -114,7 +118,7 @@
             for late in self.queues[service].take_late(now):
                 effects += self._refuse_late(late.request.request_id, now)
         for request in list(self._open.values()):
-            if request.attempt is not None:
+            if request.current_attempt is not None:
                 effects += self._check_running(request, now)
         return effects + self.dispatch_all(now)
 
@@ -138,11 +142,11 @@
             request.request_id, request.service, request.workspace, now
         )
         service = configuration.find_service(request.service)
-        opened = state.Open(
+        opened = state.PendingRequest(
             request,
             now,
             non_idempotent=bool(service and service.non_idempotent),
-            content=contents.hash_content(
+            request_hash=request_hash.hash_request(
                 request.workspace,
                 (
                     request.service.encode(),
@@ -162,7 +166,7 @@
 
     def _check_arrival(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         service: configuration_model.Service | None,
     ) -> model.Problem | None:
         name = opened.request.service
@@ -181,7 +185,7 @@
                 "this entry is being stopped; ask another one",
                 outcomes.MIN_RETRY_AFTER_S,
             )
-        if opened.non_idempotent and not opened.request.key:
+        if opened.non_idempotent and not opened.request.idempotency_key:
             return model.Problem(
                 400,
                 "key_required",
@@ -200,10 +204,12 @@
         return None
 
     def _claim(
-        self, opened: state.Open, wall: float, now: float
+        self, opened: state.PendingRequest, wall: float, now: float
     ) -> list[Effect]:
         request = opened.request
-        key = f"{request.service}\n{request.workspace}\n{request.key}"
+        key = (
+            f"{request.service}\n{request.workspace}\n{request.idempotency_key}"
+        )
         opened.phase = "claiming"
         opened.claimant = claimant.Claimant(
             claim_messages.ClaimRequest(
@@ -211,7 +217,7 @@
                 key=key,
                 owner=request.request_id,
                 fingerprint=outcomes.hash_request(request),
-                made_at=request.key_made_at,
+                made_at=request.key_created_at,
                 wall=wall,
             ),
             claimant.choose_holders(key, self._controls),
@@ -219,7 +225,9 @@
         self._claiming.add(request.request_id)
         return [*opened.claimant.start(now)]
 
-    def _follow_claim(self, opened: state.Open, now: float) -> list[Effect]:
+    def _follow_claim(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[Effect]:
         assert opened.claimant is not None
         result = opened.claimant.result
         if result == "waiting":
@@ -237,7 +245,7 @@
         )
 
     def _replay(
-        self, opened: state.Open, answer: claim_messages.FinalAnswer
+        self, opened: state.PendingRequest, answer: claim_messages.FinalAnswer
     ) -> list[Effect]:
         request_id = opened.request.request_id
         del self._open[request_id]
@@ -247,7 +255,7 @@
                 events.FinishStream(request_id, "stop", model.Usage()),
             ]
         return [
-            events.GiveAnswer(
+            events.SendResponse(
                 request_id,
                 answer.status,
                 answer.content_type,
@@ -258,17 +266,19 @@
 
     # The queue.
 
-    def _enqueue(self, opened: state.Open, now: float) -> list[Effect]:
+    def _enqueue(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[Effect]:
         request = opened.request
         # Arrivals and retries both come by here; without a look, each
         # submission of a request that ends its server ended some more.
-        blocked_s = self._guard.find_block(opened.content, now)
+        blocked_s = self._guard.get_block_remaining_s(opened.request_hash, now)
         if blocked_s is not None:
             problem = outcomes.describe_block(opened.verdict, blocked_s)
             return self._refuse(opened, problem, now)
         waiting = self.queues.setdefault(request.service, queue.FairQueue())
         opened.phase = "queued"
-        if not opened.attempts:
+        if not opened.attempt_count:
             wait_s = self._estimate_wait(request, waiting)
             if wait_s > request.deadline_s:
                 return self._refuse(
@@ -294,7 +304,8 @@
         running = sum(
             1
             for other in self._open.values()
-            if other.attempt and other.request.service == request.service
+            if other.current_attempt
+            and other.request.service == request.service
         )
         duration_s = self._duration_s.get(request.service, FIRST_DURATION_S)
         return ahead * duration_s / max(1, running)
@@ -306,18 +317,18 @@
             request = waiting.peek()
             assert request is not None
             opened = self._open[request.request_id]
-            choice = self._policy.choose(request, opened.failed, now)
+            choice = self._policy.choose(request, opened.failed_groups, now)
             match choice:
                 case policy_module.Choice():
                     waiting.pop()
                     effects += self._start(opened, choice, now)
                 case policy_module.Unavailable(
-                    exists=True, pause_s=pause_s
+                    has_untried_replica=True, pause_s=pause_s
                 ) if pause_s and _ends_before(opened, now + pause_s):
                     waiting.pop()
                     problem = outcomes.describe_pause(opened.verdict, pause_s)
                     effects += self._refuse(opened, problem, now)
-                case policy_module.Unavailable(exists=True):
+                case policy_module.Unavailable(has_untried_replica=True):
                     break
                 case policy_module.Unavailable():
                     waiting.pop()
@@ -335,51 +346,58 @@
         return effects
 
     def _start(
-        self, opened: state.Open, choice: policy_module.Choice, now: float
+        self,
+        opened: state.PendingRequest,
+        choice: policy_module.Choice,
+        now: float,
     ) -> list[Effect]:
         request = opened.request
-        if opened.attempts == 0:
-            self._budget.earn()
-        opened.attempts += 1
+        if opened.attempt_count == 0:
+            self._budget.deposit()
+        opened.attempt_count += 1
         opened.phase = "running"
         attempt = state.Attempt(
-            attempt_id=f"{request.request_id}.{opened.attempts}",
+            attempt_id=f"{request.request_id}.{opened.attempt_count}",
             replica=choice.replica,
             started_at=now,
-            heard_at=now,
+            last_frame_at=now,
         )
-        opened.attempt = attempt
+        opened.current_attempt = attempt
         self._by_attempt[attempt.attempt_id] = request.request_id
-        self._book.count_start(choice.replica.group, now)
+        self._book.record_start(choice.replica.group, now)
         self.trails.add(
             request.request_id,
             now,
             "attempt",
             f"{attempt.attempt_id} on {choice.replica.group}",
-            choice.weighed,
+            choice.candidates,
         )
         return [
-            events.OpenAttempt(
+            events.StartAttempt(
                 attempt_id=attempt.attempt_id,
-                number=opened.attempts,
+                attempt_number=opened.attempt_count,
                 request=request,
                 replica=choice.replica,
                 position=opened.position,
-                text="".join(opened.pieces),
+                text="".join(opened.text_chunks),
             )
         ]
 
     # What comes back.
 
-    def _find(self, attempt_id: str) -> state.Open | None:
+    def _find(self, attempt_id: str) -> state.PendingRequest | None:
         """Returns the request whose present attempt this is.
 
         Whatever a former attempt still sends is dropped here: its request
         has moved on, or is answered.
         """
         opened = self._open.get(self._by_attempt.get(attempt_id, ""))
-        if opened and opened.attempt:
-            return opened if opened.attempt.attempt_id == attempt_id else None
+        if opened and opened.current_attempt:
+            return (
+                opened
+                if opened.current_attempt.attempt_id == attempt_id
+                else None
+            )
         return None
 
     def _take_frame(
@@ -388,7 +406,7 @@
         opened = self._find(frame.attempt_id)
         if opened is None:
             return []
-        attempt = opened.attempt
+        attempt = opened.current_attempt
         assert attempt is not None
         if frame.request_id != opened.request.request_id:
             # A frame of another request on this connection: the server mixed
@@ -396,8 +414,8 @@
             return self._abandon_attempt(opened, "foreign_frame", now)
         if frame.position > opened.position:
             return self._abandon_attempt(opened, "frame_gap", now)
-        gap_s = now - attempt.heard_at
-        attempt.heard_at = now
+        gap_s = now - attempt.last_frame_at
+        attempt.last_frame_at = now
         end = frame.position + frame.tokens
         effects: list[Effect] = []
         if frame.tokens and end > opened.position:
@@ -409,7 +427,7 @@
                 )
             attempt.framed = True
             opened.position = end
-            opened.pieces.append(frame.text)
+            opened.text_chunks.append(frame.text)
             effects.append(
                 events.EmitText(opened.request.request_id, frame.text)
             )
@@ -418,9 +436,12 @@
         return effects
 
     def _finish_stream(
-        self, opened: state.Open, frame: events.FrameArrived, now: float
+        self,
+        opened: state.PendingRequest,
+        frame: events.FrameArrived,
+        now: float,
     ) -> list[Effect]:
-        text = "".join(opened.pieces).encode()
+        text = "".join(opened.text_chunks).encode()
         answer = outcomes.keep_answer(200, outcomes.COMPLETION_TYPE, text)
         finish = events.FinishStream(
             opened.request.request_id, frame.finish_reason, frame.usage
@@ -438,20 +459,20 @@
         answer = outcomes.keep_answer(
             event.status, event.content_type, event.body
         )
-        give = events.GiveAnswer(
+        give = events.SendResponse(
             event.request_id, event.status, event.content_type, event.body
         )
         return [give, *self._close(opened, answer, now)]
 
     def _close(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         answer: claim_messages.FinalAnswer,
         now: float,
     ) -> list[Effect]:
         """Ends a request that has its whole answer."""
         request = opened.request
-        attempt = opened.attempt
+        attempt = opened.current_attempt
         assert attempt is not None
         duration_s = now - attempt.started_at
         known_s = self._duration_s.get(request.service, duration_s)
@@ -459,7 +480,7 @@
             known_s + (duration_s - known_s) * 0.1
         )
         self._end_attempt(opened, now)
-        self._guard.note_answered(opened.content, now)
+        self._guard.record_complete_response(opened.request_hash, now)
         self._book.get(attempt.replica.group).failures = 0
         self.trails.add(request.request_id, now, "ran")
         del self._open[request.request_id]
@@ -483,9 +504,9 @@
         )
 
     def _abandon_attempt(
-        self, opened: state.Open, reason: str, now: float
+        self, opened: state.PendingRequest, reason: str, now: float
     ) -> list[Effect]:
-        attempt = opened.attempt
+        attempt = opened.current_attempt
         assert attempt is not None
         cancel = events.CancelAttempt(
             attempt.attempt_id, opened.request.request_id, attempt.replica
@@ -499,25 +520,25 @@
 
     def _fail_attempt(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         verdict: verdict_module.Verdict,
         reason: str,
         retry_after_s: float | None,
         now: float,
     ) -> list[Effect]:
         request = opened.request
-        attempt = opened.attempt
+        attempt = opened.current_attempt
         assert attempt is not None
         self._end_attempt(opened, now)
-        opened.failed.add(attempt.replica.group)
+        opened.failed_groups.add(attempt.replica.group)
         if retry_after_s is not None:
             self._book.note_pause(attempt.replica.group, retry_after_s, now)
         if reason != "busy":
-            self._book.note_failure(attempt.replica.group, now)
+            self._book.record_failure(attempt.replica.group, now)
         if verdict is Verdict.MAY_HAVE_RUN:
             opened.fruitless += not attempt.framed
             group = attempt.replica.group
-            self._guard.note_lost(opened.content, group, 0, now)
+            self._guard.record_lost_run(opened.request_hash, group, 0, now)
         if opened.position:
             verdict = Verdict.MAY_HAVE_RUN
         opened.verdict = verdict_module.combine_verdicts(
@@ -538,7 +559,7 @@
 
     def _check_retry(
         self,
-        opened: state.Open,
+        opened: state.PendingRequest,
         reason: str,
         retry_after_s: float | None,
         now: float,
@@ -569,9 +590,9 @@
         # Whether its replicas have ended is known only after a second. By then
         # one submission, tried for as long as the budget lasted, had ended six
         # of nine.
-        if opened.fruitless >= ledger.LIMIT:
+        if opened.fruitless >= crash_history.BLOCK_THRESHOLD:
             return outcomes.describe_fruitless()
-        if not self._budget.spend():
+        if not self._budget.try_withdraw():
             return model.Problem(
                 503,
                 "retry_budget_spent",
@@ -584,24 +605,26 @@
             )
         return None
 
-    def _end_attempt(self, opened: state.Open, now: float) -> None:
-        attempt = opened.attempt
+    def _end_attempt(self, opened: state.PendingRequest, now: float) -> None:
+        attempt = opened.current_attempt
         assert attempt is not None
         self._by_attempt.pop(attempt.attempt_id, None)
-        self._book.count_end(attempt.replica.group, now)
-        opened.attempt = None
+        self._book.record_end(attempt.replica.group, now)
+        opened.current_attempt = None
 
     # Time.
 
-    def _check_running(self, opened: state.Open, now: float) -> list[Effect]:
-        attempt = opened.attempt
+    def _check_running(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[Effect]:
+        attempt = opened.current_attempt
         assert attempt is not None
         overdue = now - opened.arrived_at >= opened.request.deadline_s
         if overdue and not opened.position:
             return self._give_up_running(opened, now)
         if not attempt.replica.keepalive_s:
             return []
-        silent_s = now - attempt.heard_at
+        silent_s = now - attempt.last_frame_at
         if silent_s <= SILENT_KEEPALIVES * attempt.replica.keepalive_s:
             return []
         if attempt.attached:
@@ -609,7 +632,7 @@
         return self._attach(opened, attempt, now)
 
     def _attach(
-        self, opened: state.Open, attempt: state.Attempt, now: float
+        self, opened: state.PendingRequest, attempt: state.Attempt, now: float
     ) -> list[Effect]:
         """Joins a silent stream again over a new connection.
 
@@ -619,30 +642,35 @@
         """
         request_id = opened.request.request_id
         close = events.CancelAttempt(
-            attempt.attempt_id, request_id, attempt.replica, stop=False
+            attempt.attempt_id,
+            request_id,
+            attempt.replica,
+            cancel_on_server=False,
         )
         self._by_attempt.pop(attempt.attempt_id, None)
-        opened.attempts += 1
-        attempt.attempt_id = f"{request_id}.{opened.attempts}"
+        opened.attempt_count += 1
+        attempt.attempt_id = f"{request_id}.{opened.attempt_count}"
         attempt.attached = True
-        attempt.heard_at = now
+        attempt.last_frame_at = now
         self._by_attempt[attempt.attempt_id] = request_id
         self.trails.add(request_id, now, "attach", attempt.attempt_id)
         return [
             close,
-            events.OpenAttempt(
+            events.StartAttempt(
                 attempt_id=attempt.attempt_id,
-                number=opened.attempts,
+                attempt_number=opened.attempt_count,
                 request=opened.request,
                 replica=attempt.replica,
                 position=opened.position,
-                text="".join(opened.pieces),
+                text="".join(opened.text_chunks),
                 attach=True,
             ),
         ]
 
-    def _give_up_running(self, opened: state.Open, now: float) -> list[Effect]:
-        attempt = opened.attempt
+    def _give_up_running(
+        self, opened: state.PendingRequest, now: float
+    ) -> list[Effect]:
+        attempt = opened.current_attempt
         assert attempt is not None
         cancel = events.CancelAttempt(
             attempt.attempt_id, opened.request.request_id, attempt.replica
@@ -683,13 +711,13 @@
         opened = self._open.get(request_id)
         if opened is None:
             return []
-        if opened.non_idempotent and opened.attempt is not None:
+        if opened.non_idempotent and opened.current_attempt is not None:
             # To stop it could leave the work half done; it is finished, and
             # a resend gets the answer from the claim.
             return []
         self.trails.add(request_id, now, "caller_left")
         effects: list[Effect] = []
-        attempt = opened.attempt
+        attempt = opened.current_attempt
         if attempt is not None:
             effects.append(
                 events.CancelAttempt(
@@ -706,7 +734,7 @@
         return effects + self._dispatch(opened.request.service, now)
 
     def _refuse(
-        self, opened: state.Open, problem: model.Problem, now: float
+        self, opened: state.PendingRequest, problem: model.Problem, now: float
     ) -> list[Effect]:
         request_id = opened.request.request_id
         self.trails.add(
@@ -722,7 +750,7 @@
             *self._settle_claim(opened),
         ]
 
-    def _settle_claim(self, opened: state.Open) -> list[Effect]:
+    def _settle_claim(self, opened: state.PendingRequest) -> list[Effect]:
         """Gives a claim back if nothing ran, or marks it as unknown."""
         if opened.claimant is None:
             return []
@@ -732,6 +760,6 @@
         return [*opened.claimant.finish(unknown)]
 
 
-def _ends_before(opened: state.Open, at: float) -> bool:
+def _ends_before(opened: state.PendingRequest, at: float) -> bool:
     """Says whether a request that waits is given up before a time."""
     return opened.arrived_at + opened.request.deadline_s <= at
--- a/src/hickorylead/requests/events.py
+++ b/src/hickorylead/requests/events.py
@@ -12,20 +12,20 @@
 
 
 @attrs.frozen
-class Arrive:
+class RequestArrived:
     """Event: a caller submitted a request.
 
     Attributes:
         request: The request, checked.
-        wall: Wall-clock time, in Unix seconds.
+        wall_time: Wall-clock time, in Unix seconds.
     """
 
     request: model.Request
-    wall: float
+    wall_time: float
 
 
 @attrs.frozen
-class CallerLeft:
+class CallerDisconnected:
     """Event: the caller's connection is closed."""
 
     request_id: str
@@ -83,17 +83,21 @@
 
 
 Event: TypeAlias = (
-    Arrive | CallerLeft | FrameArrived | AnswerArrived | AttemptFailed
+    RequestArrived
+    | CallerDisconnected
+    | FrameArrived
+    | AnswerArrived
+    | AttemptFailed
 )
 
 
 @attrs.frozen
-class OpenAttempt:
+class StartAttempt:
     """Effect: send a request to a replica.
 
     Attributes:
         attempt_id: Names the attempt in the events that follow.
-        number: Counts the attempts of the request, from 1.
+        attempt_number: Counts the attempts of the request, from 1.
         request: The request.
         replica: Where to send it.
         position: Tokens that the caller has already.
@@ -103,7 +107,7 @@
     """
 
     attempt_id: str
-    number: int
+    attempt_number: int
     request: model.Request
     replica: routing_messages.Replica
     position: int = 0
@@ -118,7 +122,7 @@
     attempt_id: str
     request_id: str
     replica: routing_messages.Replica
-    stop: bool = True
+    cancel_on_server: bool = True
 
 
 @attrs.frozen
@@ -139,7 +143,7 @@
 
 
 @attrs.frozen
-class GiveAnswer:
+class SendResponse:
     """Effect: give the caller the whole answer of a plain service.
 
     Attributes:
@@ -166,5 +170,10 @@
 
 
 Effect: TypeAlias = (
-    OpenAttempt | CancelAttempt | EmitText | FinishStream | GiveAnswer | Refuse
+    StartAttempt
+    | CancelAttempt
+    | EmitText
+    | FinishStream
+    | SendResponse
+    | Refuse
 )
--- a/src/hickorylead/requests/trail.py
+++ b/src/hickorylead/requests/history.py
@@ -16,16 +16,16 @@
     """One thing that happened to a request.
 
     Attributes:
-        after_s: Seconds since the request came.
-        what: Stable code.
+        elapsed_s: Seconds since the request came.
+        code: Stable code.
         detail: For people.
-        weighed: Replicas that were weighed, if one was chosen here.
+        candidates: Replicas that were weighed, if one was chosen here.
     """
 
-    after_s: float
-    what: str
+    elapsed_s: float
+    code: str
     detail: str = ""
-    weighed: tuple[policy.Weighed, ...] = ()
+    candidates: tuple[policy.Weighed, ...] = ()
 
 
 @attrs.frozen
@@ -46,7 +46,7 @@
     steps: list[Step] = attrs.field(factory=list)
 
 
-class TrailBook:
+class HistoryStore:
     """Trails of the last requests of one entry."""
 
     def __init__(self) -> None:
@@ -67,15 +67,15 @@
         self,
         request_id: str,
         now: float,
-        what: str,
+        code: str,
         detail: str = "",
-        weighed: tuple[policy.Weighed, ...] = (),
+        candidates: tuple[policy.Weighed, ...] = (),
     ) -> None:
         """Adds a step."""
         trail = self._open.get(request_id)
         if trail:
             after_s = round(now - trail.since, 6)
-            trail.steps.append(Step(after_s, what, detail, weighed))
+            trail.steps.append(Step(after_s, code, detail, candidates))
 
     def get(self, request_id: str) -> Trail | None:
         """Returns the trail of a request, if it is still kept."""
--- a/src/hickorylead/requests/model.py
+++ b/src/hickorylead/requests/model.py
@@ -24,12 +24,12 @@
         body: Request body; JSON for model services.
         prompt_tokens: Rough size of the prompt.
         max_tokens: Most tokens the answer may have.
-        prefixes: Hashes of growing prefixes of the prompt, shortest first.
+        prefix_hashes: Hashes of growing prefixes of the prompt, shortest first.
         method: HTTP method, for plain services.
         path: Path below the service, with query, for plain services.
         content_type: Of the body.
-        key: Idempotency key; empty if none was given.
-        key_made_at: Time in the key, in Unix seconds.
+        idempotency_key: Idempotency key; empty if none was given.
+        key_created_at: Time in the key, in Unix seconds.
         traceparent: W3C trace context to pass on; empty if none.
     """
 
@@ -42,12 +42,12 @@
     body: bytes = b""
     prompt_tokens: int = 0
     max_tokens: int = 0
-    prefixes: tuple[str, ...] = ()
+    prefix_hashes: tuple[str, ...] = ()
     method: str = "POST"
     path: str = ""
     content_type: str = "application/json"
-    key: str = ""
-    key_made_at: float = 0.0
+    idempotency_key: str = ""
+    key_created_at: float = 0.0
     traceparent: str = ""
 
 
--- a/src/hickorylead/requests/outcomes.py
+++ b/src/hickorylead/requests/outcomes.py
@@ -8,7 +8,7 @@
 
 from hickorylead import verdict as verdict_module
 from hickorylead.claims import messages as claim_messages
-from hickorylead.crashes import ledger
+from hickorylead.crashes import crash_history
 from hickorylead.requests import model
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
 
 def describe_claim(
-    result: claimant.Result, answer: claim_messages.FinalAnswer | None
+    result: claimant.ClaimResult, answer: claim_messages.FinalAnswer | None
 ) -> model.Problem:
     """Returns the problem of a submission that did not get its claim."""
     match result:
@@ -125,7 +125,8 @@
         502,
         "replicas_failed",
         Verdict.MAY_HAVE_RUN,
-        f"{ledger.LIMIT} replicas failed while they ran it, and gave nothing",
+        f"{crash_history.BLOCK_THRESHOLD} replicas failed while they ran it,"
+        " and gave nothing",
     )
 
 
--- a/src/hickorylead/requests/state.py
+++ b/src/hickorylead/requests/state.py
@@ -23,13 +23,13 @@
     attempt_id: str
     replica: messages.Replica
     started_at: float
-    heard_at: float
+    last_frame_at: float
     attached: bool = False
     framed: bool = False
 
 
 @attrs.define
-class Open:
+class PendingRequest:
     """A request that has no final answer yet.
 
     Attributes:
@@ -38,13 +38,14 @@
         non_idempotent: Whether it may run at most once.
         phase: What it waits for.
         claimant: Its claim, if it needs one.
-        attempt: The attempt that runs now.
-        attempts: How many there were.
-        failed: Groups on which it failed.
+        current_attempt: The attempt that runs now.
+        attempt_count: How many there were.
+        failed_groups: Groups on which it failed.
         verdict: The worst of the attempts that ended.
         position: Tokens that the caller has.
-        pieces: Their text.
-        content: Hash of what is asked for, the same when it is asked again.
+        text_chunks: Their text.
+        request_hash: Hash of what is asked for, the same when it is asked
+            again.
         fruitless: Attempts that may have run and gave nothing new.
     """
 
@@ -53,11 +54,11 @@
     non_idempotent: bool
     phase: Phase = "queued"
     claimant: claimant.Claimant | None = None
-    attempt: Attempt | None = None
-    attempts: int = 0
-    failed: set[str] = attrs.field(factory=set)
+    current_attempt: Attempt | None = None
+    attempt_count: int = 0
+    failed_groups: set[str] = attrs.field(factory=set)
     verdict: verdict_module.Verdict = verdict_module.Verdict.NOT_RUN
     position: int = 0
-    pieces: list[str] = attrs.field(factory=list)
-    content: int = 0
+    text_chunks: list[str] = attrs.field(factory=list)
+    request_hash: int = 0
     fruitless: int = 0
--- a/src/hickorylead/roles/control.py
+++ b/src/hickorylead/roles/control.py
@@ -11,7 +11,7 @@
 import attrs
 
 from hickorylead.claims import (
-    holder as claim_holder,
+    claim_holder,
     messages as claim_messages,
 )
 from hickorylead.configuration import changes, follower, messages
@@ -20,10 +20,10 @@
     voter as voter_module,
 )
 from hickorylead.crashes import (
-    exchange as exchange_module,
+    crash_tracker as crash_tracker_module,
     messages as crash_messages,
 )
-from hickorylead.lease import messages as lease_messages, zone as lease_zone
+from hickorylead.lease import messages as lease_messages, zone_lease
 from hickorylead.membership import (
     announcements,
     messages as member_messages,
@@ -32,8 +32,8 @@
 from hickorylead.placement import planner
 from hickorylead.roles import (
     founding as founding_module,
+    interface,
     nodes,
-    seam,
     status,
     zoneholder,
 )
@@ -52,13 +52,13 @@
 
     Attributes:
         node: Its name.
-        controls: All control processes of all zones, by the settings.
+        control_nodes: All control processes of all zones, by the settings.
         incarnation: Name of the data folder's present life; empty without a
             data folder.
     """
 
     node: str
-    controls: tuple[str, ...]
+    control_nodes: tuple[str, ...]
     incarnation: str = ""
 
 
@@ -88,15 +88,17 @@
             wall: Wall-clock time, in Unix seconds.
         """
         self._identity = identity
-        self._others = tuple(n for n in identity.controls if n != identity.node)
+        self._others = tuple(
+            n for n in identity.control_nodes if n != identity.node
+        )
         self._zone = nodes.get_zone(identity.node)
-        by_zone = nodes.group_by_zone(identity.controls)
+        by_zone = nodes.group_by_zone(identity.control_nodes)
         zone_controls = by_zone[self._zone]
         self._voter: voter_module.Voter | None = None
         self._follower = follower.Follower(
             node=identity.node,
             controls=zone_controls,
-            all_controls=identity.controls,
+            all_controls=identity.control_nodes,
         )
         if identity.incarnation:
             self._voter = voter_module.Voter(
@@ -108,26 +110,26 @@
             )
             self._voter.restore(records)
             self._follower.adopt(self._voter.configuration)
-        self._lease = lease_zone.Lease(
+        self._lease = zone_lease.ZoneLease(
             node=identity.node, nodes=zone_controls, rng=rng, now=now
         )
-        self._registry = registry_module.Registry()
+        self._registry = registry_module.MembershipRegistry()
         self._holder = zoneholder.ZoneHolder(
             node=identity.node,
-            controls=identity.controls,
+            controls=identity.control_nodes,
             registry=self._registry,
             lease=self._lease,
             policy=policy,
             now=now,
         )
-        self._claims = claim_holder.Holder(
+        self._claims = claim_holder.ClaimHolder(
             node=identity.node, started_at=wall, max_skew_s=max_skew_s
         )
-        self._crashes = exchange_module.Exchange(identity.node)
+        self._crashes = crash_tracker_module.CrashTracker(identity.node)
         self._next_retell = now
         self._askers: dict[str, str] = {}
         self._founding = founding_module.Founding(
-            node=identity.node, controls=identity.controls
+            node=identity.node, controls=identity.control_nodes
         )
 
     @property
@@ -150,20 +152,20 @@
         return self._holder.may_order(now)
 
     def reduce(
-        self, event: seam.ControlEvent, now: float
-    ) -> list[seam.ControlEffect]:
+        self, event: interface.ControlEvent, now: float
+    ) -> list[interface.ControlEffect]:
         """Handles one event and returns what is to be done."""
         match event:
-            case seam.Tick():
+            case interface.Tick():
                 return self._tick(now)
-            case seam.MessageArrived(sender, message, wall):
+            case interface.MessageArrived(sender, message, wall):
                 return self._receive(sender, message, now, wall)
 
-    def _tick(self, now: float) -> list[seam.ControlEffect]:
-        effects: list[seam.ControlEffect] = []
+    def _tick(self, now: float) -> list[interface.ControlEffect]:
+        effects: list[interface.ControlEffect] = []
         if self._voter is not None:
             effects += self._wrap_votes(self._voter.tick(now), now)
-            if self._voter.leads(now):
+            if self._voter.is_ready_leader(now):
                 self._follower.ready = True
         self._registry.tick(now)
         effects += _wrap(self._lease.tick(now))
@@ -176,12 +178,12 @@
 
     def _take_crashes(
         self, news: crash_messages.CrashNews, now: float
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         is_passed = news.sender in self._others
         others = () if is_passed else self._others
-        return _send_all(self._crashes.take(news, others, now))
+        return _send_all(self._crashes.merge(news, others, now))
 
-    def _block(self, now: float) -> list[seam.ControlEffect]:
+    def _block(self, now: float) -> list[interface.ControlEffect]:
         """Tells the zone's entries what is blocked, at once and again later.
 
         Another zone's control processes are told why, as they may all have
@@ -191,17 +193,17 @@
         # Entries find out which replicas ended; nothing is told before.
         sent, _ = self._crashes.tick(lambda _: False, entries, now)
         if now >= self._next_retell:
-            self._next_retell = now + exchange_module.RETELL_PERIOD_S
+            self._next_retell = now + crash_tracker_module.RETELL_PERIOD_S
             if self._crashes.count_blocked():
-                news = self._crashes.describe_blocked(now)
+                news = self._crashes.make_block_update(now)
                 sent = [(node, news) for node in entries]
-                proof = self._crashes.describe_proof(now)
+                proof = self._crashes.make_evidence_update(now)
                 sent += [(n, proof) for n in self._others]
         return _send_all(sent)
 
     def _receive(
-        self, sender: str, message: seam.Message, now: float, wall: float
-    ) -> list[seam.ControlEffect]:
+        self, sender: str, message: interface.Message, now: float, wall: float
+    ) -> list[interface.ControlEffect]:
         match message:
             case (
                 member_messages.Edge()
@@ -239,15 +241,15 @@
                     return []
                 return self._wrap_votes(self._voter.receive(message, now), now)
             case status.StatusRequest(entry, token):
-                reply = status.StatusReply(token, self.describe(now))
-                return [seam.Send(entry, reply)]
+                reply = status.StatusReply(token, self.get_status(now))
+                return [interface.Send(entry, reply)]
             case status.ExplainRequest(_, _, request_id):
-                entry_node = nodes.find_entry(request_id)
+                entry_node = nodes.parse_entry_node(request_id)
                 if entry_node not in self._registry.entries:
                     return []
-                return [seam.Send(entry_node, message)]
+                return [interface.Send(entry_node, message)]
             case status.ExplainReply(asker=asker):
-                return [seam.Send(asker, message)]
+                return [interface.Send(asker, message)]
             case status.StatusReply():
                 return []
             case _ if isinstance(message, messages.Message):
@@ -258,16 +260,16 @@
 
     def _receive_membership(
         self, message: member_messages.Message, now: float
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         effects = _wrap(self._registry.receive(message, now))
         match message:
             case member_messages.Digest(entry=entry, fence=fence):
-                self._lease.observe(fence)
+                self._lease.observe_fencing_number(fence)
                 if message.configuration < self._follower.version:
                     update = self._make_update(message.configuration, now)
-                    effects.append(seam.Send(entry, update))
+                    effects.append(interface.Send(entry, update))
             case member_messages.Edge(state=state):
-                self._lease.observe(state.fence)
+                self._lease.observe_fencing_number(state.fence)
                 if state.phase == announcements.PHASE_LEAVING:
                     effects += _wrap(self._holder.withdraw(state))
         return effects
@@ -276,10 +278,10 @@
 
     def _receive_configuration(
         self, message: messages.Message, now: float
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         match message:
             case messages.ConfigurationRequest(node, version):
-                return [seam.Send(node, self._make_update(version, now))]
+                return [interface.Send(node, self._make_update(version, now))]
             case messages.ConfigurationUpdate():
                 rose = self._follower.receive(message, now)
                 return self._tell_entries(now) if rose else []
@@ -291,7 +293,7 @@
                 identity = messages.IdentityReply(
                     self._identity.node, member, cluster
                 )
-                return [seam.Send(node, identity)]
+                return [interface.Send(node, identity)]
             case messages.FoundRequest():
                 return _wrap(self._founding.start(message))
             case messages.IdentityReply():
@@ -305,7 +307,7 @@
         update = messages.ConfigurationUpdate(
             sender=self._identity.node,
             ready=self._follower.ready,
-            from_leader=bool(self._voter and self._voter.leads(now)),
+            from_leader=bool(self._voter and self._voter.is_ready_leader(now)),
             leader=self._find_leader(now),
             version=self._follower.version,
         )
@@ -323,7 +325,7 @@
 
     def _take_change(
         self, entry: str, change: changes.Change, now: float
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         voter = self._voter
         if voter and voter.role == "leader" and voter.has_leader(now):
             self._askers[change.change_id] = entry
@@ -339,19 +341,19 @@
             detail="no leader with a majority of the voters is known here",
         )
         return [
-            seam.Send(
+            interface.Send(
                 entry, messages.ChangeReply(outcome, False, leader=leader)
             )
         ]
 
     def _wrap_votes(
         self, effects: Iterable[consensus_messages.Effect], now: float
-    ) -> list[seam.ControlEffect]:
-        wrapped: list[seam.ControlEffect] = []
+    ) -> list[interface.ControlEffect]:
+        wrapped: list[interface.ControlEffect] = []
         for effect in effects:
             match effect:
                 case consensus_messages.Send(node, message):
-                    wrapped.append(seam.Send(node, message))
+                    wrapped.append(interface.Send(node, message))
                 case consensus_messages.Persist():
                     wrapped.append(effect)
                 case consensus_messages.Apply(configuration):
@@ -373,45 +375,46 @@
 
     def _answer(
         self, outcome: changes.Outcome, *, final: bool
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         entry = self._askers.pop(outcome.change_id, None)
         if entry is None:
             return []
         reply = messages.ChangeReply(outcome, final, lost=not final)
-        return [seam.Send(entry, reply)]
+        return [interface.Send(entry, reply)]
 
-    def _tell_controls(self, now: float) -> list[seam.ControlEffect]:
+    def _tell_controls(self, now: float) -> list[interface.ControlEffect]:
         if self._voter is None or self._voter.role != "leader":
             return []
         update = self._make_update(-1, now)
         return [
-            seam.Send(node, update)
-            for node in self._identity.controls
+            interface.Send(node, update)
+            for node in self._identity.control_nodes
             if node != self._identity.node
         ]
 
-    def _tell_entries(self, now: float) -> list[seam.ControlEffect]:
+    def _tell_entries(self, now: float) -> list[interface.ControlEffect]:
         update = self._make_update(-1, now)
         return [
-            seam.Send(entry, update) for entry in sorted(self._registry.entries)
+            interface.Send(entry, update)
+            for entry in sorted(self._registry.entries)
         ]
 
     def _found(
         self, reply: messages.IdentityReply, now: float
-    ) -> list[seam.ControlEffect]:
+    ) -> list[interface.ControlEffect]:
         decision = self._founding.receive(reply)
         if decision is None or self._voter is None:
             return []
-        effects: list[seam.ControlEffect] = []
+        effects: list[interface.ControlEffect] = []
         if decision.voters:
             cluster = decision.reply.cluster
-            founded = self._voter.found(cluster, decision.voters)
+            founded = self._voter.bootstrap(cluster, decision.voters)
             effects += self._wrap_votes(founded, now)
-        return [*effects, seam.Send(decision.entry, decision.reply)]
+        return [*effects, interface.Send(decision.entry, decision.reply)]
 
     # Status.
 
-    def describe(self, now: float) -> status.ControlStatus:
+    def get_status(self, now: float) -> status.ControlStatus:
         """Returns the status of this process and, as holder, of its zone."""
         is_holder = self._lease.is_held(now)
         return status.ControlStatus(
@@ -420,9 +423,9 @@
             version=self._follower.version,
             preset=self._follower.configuration.preset,
             leader=self._find_leader(now),
-            is_leader=bool(self._voter and self._voter.leads(now)),
+            is_leader=bool(self._voter and self._voter.is_ready_leader(now)),
             is_holder=is_holder,
-            fence=self._lease.number if is_holder else 0,
+            fence=self._lease.fencing_number if is_holder else 0,
             members=len(self._registry.members),
             largest_domain=self._holder.find_largest_domain(),
             stranded=self._holder.count_stranded() if is_holder else 0,
@@ -437,16 +440,16 @@
 
 
 def _send_all(
-    sent: Iterable[exchange_module.Sent],
-) -> list[seam.ControlEffect]:
-    return [seam.Send(node, message) for node, message in sent]
+    sent: Iterable[crash_tracker_module.Sent],
+) -> list[interface.ControlEffect]:
+    return [interface.Send(node, message) for node, message in sent]
 
 
-def _wrap(effects: Iterable) -> list[seam.ControlEffect]:
+def _wrap(effects: Iterable) -> list[interface.ControlEffect]:
     """Returns the effects of the parts as effects of the role."""
     return [
         effect
-        if isinstance(effect, planner.orders.Give)
-        else seam.Send(effect.node, effect.message)
+        if isinstance(effect, planner.orders.SendOrder)
+        else interface.Send(effect.node, effect.message)
         for effect in effects
     ]
--- a/src/hickorylead/roles/coordinator.py
+++ b/src/hickorylead/roles/coordinator.py
@@ -13,44 +13,44 @@
 
 from hickorylead import notes
 from hickorylead.consensus import (
+    configuration_requests,
     messages as consensus_messages,
     voter as voter_module,
-    whole,
 )
 from hickorylead.crashes import (
-    exchange as exchange_module,
-    ledger as ledger_module,
+    crash_history as crash_history_module,
+    crash_tracker as crash_tracker_module,
     messages as crash_messages,
 )
 from hickorylead.fleet import (
     descriptions,
-    differences,
+    divergence,
     events,
     gateways as gateways_module,
     identity as identity_module,
     instances,
     messages,
-    neighbours as neighbours_module,
     orders,
+    peer_directory as peer_directory_module,
     registry as registry_module,
     supervisor as supervisor_module,
 )
 from hickorylead.notices import (
-    exchange as notice_exchange,
     messages as notice_messages,
+    pause_relay,
 )
 from hickorylead.ratelimits import (
-    exchange as limit_exchange,
     messages as limit_messages,
+    permit_broker,
 )
-from hickorylead.roles import nodes, seam
+from hickorylead.roles import interface, nodes
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
     import random
 
     from hickorylead.configuration import document as document_module
-    from hickorylead.fleet import former as former_module
+    from hickorylead.fleet import group_builder as group_builder_module
 
 TICK_S = 0.05
 FORGET_INSTANCE_S = 60.0
@@ -59,25 +59,25 @@
 SAVE_PERIOD_S = 1.0
 
 CoordinatorEvent: TypeAlias = (
-    seam.Tick
-    | seam.MessageArrived
+    interface.Tick
+    | interface.MessageArrived
     | events.HeartbeatArrived
     | events.InstanceLeft
-    | events.ReplaceAsked
-    | events.ReadAsked
+    | events.ReplaceRequested
+    | events.ReadRequested
     | orders.OrderAnswered
     | orders.ReportArrived
     | orders.NoticeArrived
 )
 CoordinatorEffect: TypeAlias = (
-    seam.Send
+    interface.Send
     | consensus_messages.Persist
     | events.AnswerReplace
     | events.AnswerRead
     | events.SaveInstances
     | events.SaveCrashes
-    | orders.Give
-    | orders.AskReport
+    | orders.SendOrder
+    | orders.RequestReport
     | notes.Note
 )
 
@@ -92,11 +92,11 @@
         read_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
-        policy: former_module.Policy,
+        policy: group_builder_module.StandbyPolicy,
         records: Sequence[consensus_messages.Record],
         rng: random.Random,
         now: float,
-        tuning: voter_module.Tuning = voter_module.DEFAULT_TUNING,
+        tuning: voter_module.VoterOptions = voter_module.DEFAULT_OPTIONS,
     ) -> None:
         """Makes a coordinator that has just started.
 
@@ -114,27 +114,27 @@
         self._read_document = read_document
         self.document: document_module.Document | None = None
         self.registry = registry_module.Registry()
-        self.neighbours = neighbours_module.Neighbours(
+        self.neighbours = peer_directory_module.PeerDirectory(
             node=identity.node, seeds=identity.seeds
         )
         self.gateways = gateways_module.Gateways(zone=self._zone)
-        self._differences = differences.Differences()
+        self._differences = divergence.DivergenceDetector()
         # Beside the registry, as a restart recalls both from the disk.
-        self.crashes = exchange_module.Exchange(identity.node)
+        self.crashes = crash_tracker_module.CrashTracker(identity.node)
         self._saved_crashes = 0
-        self._limits = limit_exchange.Exchange(
+        self._limits = permit_broker.PermitBroker(
             identity.node,
             registry=self.registry,
             neighbours=self.neighbours,
             gateways=self.gateways,
         )
-        self._notices = notice_exchange.Exchange(identity.node)
+        self._notices = pause_relay.PauseRelay(identity.node)
         self._supervisor = supervisor_module.Supervisor(
             identity,
             policy=policy,
-            life=f"{rng.getrandbits(24):x}",
+            start_id=f"{rng.getrandbits(24):x}",
             registry=self.registry,
-            neighbours=self.neighbours,
+            peers=self.neighbours,
             has_leader=lambda at: self.voter.has_leader(at),
             now=now,
         )
@@ -151,7 +151,7 @@
         records: Sequence[consensus_messages.Record],
         rng: random.Random,
         now: float,
-        tuning: voter_module.Tuning,
+        tuning: voter_module.VoterOptions,
     ) -> None:
         """Begins to vote with what the disk holds, after a start or a fault."""
         self.voter = voter_module.Voter(
@@ -160,10 +160,10 @@
             peers=tuple(self.neighbours.known),
             rng=rng,
             now=now,
-            tuning=tuning,
+            options=tuning,
         )
         self.voter.restore(records)
-        self._whole = whole.WholeConfigurations(
+        self._whole = configuration_requests.ConfigurationRequests(
             node=self._identity.node, voter=self.voter
         )
         self._take_document()
@@ -176,7 +176,7 @@
     def is_fresh(self, now: float) -> bool:
         """Says whether the configuration held is surely a recent one."""
         if self.voter.role == "leader":
-            return self.voter.leads(now)
+            return self.voter.is_ready_leader(now)
         return self.voter.is_caught_up and self.voter.has_leader(now)
 
     def reduce(
@@ -184,39 +184,44 @@
     ) -> list[CoordinatorEffect]:
         """Handles one event and returns what is to be done."""
         match event:
-            case seam.Tick():
+            case interface.Tick():
                 return self._tick(now)
-            case seam.MessageArrived(sender, message):
+            case interface.MessageArrived(sender, message):
                 return self._receive(sender, message, now)
             case events.HeartbeatArrived(instance):
                 return self._hear(instance, now)
             case events.InstanceLeft(name, born):
                 return self._end(name, born, now)
-            case events.ReplaceAsked(token, version, content):
+            case events.ReplaceRequested(token, version, content):
                 return self._wrap(
                     self._whole.replace(
                         token,
                         version=version,
                         content=content,
-                        asker="",
+                        requester="",
                         now=now,
                     ),
                     now,
                 )
-            case events.ReadAsked(token):
+            case events.ReadRequested(token):
                 return self._wrap(
-                    self._whole.read(token, asker="", held=0, now=now), now
+                    self._whole.read(
+                        token, requester="", held_version=0, now=now
+                    ),
+                    now,
                 )
             case orders.OrderAnswered():
                 return [
                     *self._note_load(event, now),
-                    *self._supervisor.take_answer(event),
+                    *self._supervisor.handle_response(event),
                 ]
             case orders.ReportArrived():
-                return [*self._supervisor.take_report(event, now)]
+                return [*self._supervisor.handle_report(event, now)]
             case orders.NoticeArrived(name, born, retry_after_s, is_leaving):
                 if retry_after_s is not None:
-                    self._supervisor.pause(name, born, now + retry_after_s)
+                    self._supervisor.pause_calls(
+                        name, born, now + retry_after_s
+                    )
                 return self._drain(name, born, now) if is_leaving else []
 
     # Time.
@@ -227,16 +232,16 @@
         effects += self._wrap(self.voter.tick(now), now)
         effects += self._wrap(self._whole.tick(now), now)
         if now >= self._next_hello:
-            self._next_hello = now + neighbours_module.HELLO_PERIOD_S
+            self._next_hello = now + peer_directory_module.HELLO_PERIOD_S
             effects += self._greet(now)
             effects += self._found(now)
-        effects += self._supervisor.ask_silent(now)
+        effects += self._supervisor.probe_silent(now)
         effects += self._mark_lost(now)
         effects += self._tell_gateways(now)
         effects += self._send_all(
             self.gateways.tick(
                 is_fresh=self.is_fresh(now),
-                elsewhere=self.neighbours.count_gateways(now),
+                homed_elsewhere=self.neighbours.count_gateways(now),
                 now=now,
             )
         )
@@ -255,9 +260,11 @@
             self._saved_changes = self.registry.changes
             known = tuple(self.registry.list_present())
             effects.append(events.SaveInstances(known))
-        if self.crashes.check != self._saved_crashes:
-            self._saved_crashes = self.crashes.check
-            effects.append(events.SaveCrashes(self.crashes.describe_all(now)))
+        if self.crashes.digest != self._saved_crashes:
+            self._saved_crashes = self.crashes.digest
+            effects.append(
+                events.SaveCrashes(self.crashes.make_full_update(now))
+            )
         if effects:
             self._next_save = now + SAVE_PERIOD_S
         return effects
@@ -272,26 +279,26 @@
         others = [] if is_passed else self.neighbours.list_alive(now)
         # Each lost run is told twice, and again to a new home; a server that
         # answered the first time lives, and was asked for each of them.
-        servers = self.crashes.list_new(news)
-        effects = self._send_all(self.crashes.take(news, others, now))
+        servers = self.crashes.list_new_servers(news)
+        effects = self._send_all(self.crashes.merge(news, others, now))
         return [*effects, *self._supervisor.suspect_servers(servers, now)]
 
     def _block(self, now: float) -> list[CoordinatorEffect]:
-        def has_ended(life: ledger_module.Life) -> bool:
+        def has_ended(life: crash_history_module.Incarnation) -> bool:
             return self.registry.has_ended(life.server, life.born, now)
 
         sent, written = self.crashes.tick(
             has_ended,
-            self.gateways.list_own(now),
+            self.gateways.list_homed(now),
             now,
-            other_homes=self.neighbours.list_homes(now),
+            other_home_coordinators=self.neighbours.list_homes(now),
         )
         return [*self._send_all(sent), *written]
 
     def _greet(self, now: float) -> list[CoordinatorEffect]:
-        self.neighbours.forget_old(now)
-        self.registry.forget(now, FORGET_INSTANCE_S)
-        self._notices.forget(now)
+        self.neighbours.prune(now)
+        self.registry.prune(now, FORGET_INSTANCE_S)
+        self._notices.prune(now)
         known = self.neighbours.known
         hello = messages.CoordinatorHello(
             node=self._identity.node,
@@ -299,15 +306,15 @@
             incarnation=self.voter.member,
             nodes=tuple(known),
             addresses=tuple(n.address for n in known.values()),
-            check=self.registry.check,
-            is_empty=self._identity.may_found and not self.voter.cluster,
-            gateways=len(self.gateways.list_own(now)),
+            check=self.registry.digest,
+            is_empty=self._identity.may_bootstrap and not self.voter.cluster,
+            gateways=len(self.gateways.list_homed(now)),
             has_traffic=self._supervisor.has_traffic,
-            crashes=self.crashes.check,
+            crashes=self.crashes.digest,
         )
-        targets = self.neighbours.list_targets()
+        targets = self.neighbours.list_hello_targets()
         effects: list[CoordinatorEffect] = [
-            seam.Send(node, hello)
+            interface.Send(node, hello)
             for node in targets
             if node != f"@{self._identity.address}"
         ]
@@ -316,12 +323,16 @@
                 self._identity.node,
                 tuple(self._alive),
                 tuple(self._alive.values()),
-                tuple(self.registry.changed_at.get(n, 0) for n in self._alive),
+                tuple(
+                    self.registry.changed_sequences.get(n, 0)
+                    for n in self._alive
+                ),
                 tuple(self.registry.find_born(n) for n in self._alive),
             )
             self._alive = {}
             effects += [
-                seam.Send(n, alive) for n in self.neighbours.list_alive(now)
+                interface.Send(n, alive)
+                for n in self.neighbours.list_alive(now)
             ]
         return effects
 
@@ -333,7 +344,7 @@
         """
         seeds = self._identity.seeds
         if (
-            not self._identity.may_found
+            not self._identity.may_bootstrap
             or self.voter.cluster
             or not seeds
             or self._identity.address != min(seeds)
@@ -349,7 +360,7 @@
             return []
         members = [self.voter.member]
         members += [other.incarnation for other in others if other]
-        effects = self.voter.found(
+        effects = self.voter.bootstrap(
             f"cluster-{self.voter.member}", tuple(sorted(members))
         )
         return [
@@ -360,7 +371,7 @@
     # Messages.
 
     def _receive(
-        self, sender: str, message: seam.Message, now: float
+        self, sender: str, message: interface.Message, now: float
     ) -> list[CoordinatorEffect]:
         match message:
             case (
@@ -379,7 +390,7 @@
                 return self._take_hello(message, now)
             case messages.InstanceNews(_, news, is_full):
                 if is_full and news:
-                    self._supervisor.note_full_news(now)
+                    self._supervisor.record_full_sync(now)
                 return self._take_news(news, now)
             case messages.Alive():
                 return self._take_alive(message, now)
@@ -395,15 +406,15 @@
                     effects += self._drain(leave.server, leave.born, now)
                 return effects
             case limit_messages.LimitNews():
-                return self._send_all(self._limits.take_news(message, now))
+                return self._send_all(self._limits.merge_limits(message, now))
             case limit_messages.PermitRequest():
                 return self._send_all(
-                    self._limits.answer(
+                    self._limits.handle_request(
                         message, sender, is_fresh=self.is_fresh(now), now=now
                     )
                 )
             case limit_messages.PermitReply(gateway):
-                return [seam.Send(gateway, message)]
+                return [interface.Send(gateway, message)]
             case messages.StallNews(sender, heads):
                 effects = self._pass_stalls(message, now)
                 for head in heads:
@@ -415,14 +426,16 @@
                         token,
                         version=version,
                         content=content,
-                        asker=node,
+                        requester=node,
                         now=now,
                     ),
                     now,
                 )
             case messages.ReadRequest(node, token, version):
                 return self._wrap(
-                    self._whole.read(token, asker=node, held=version, now=now),
+                    self._whole.read(
+                        token, requester=node, held_version=version, now=now
+                    ),
                     now,
                 )
             case messages.ReplaceReply() | messages.ReadReply():
@@ -434,13 +447,13 @@
         self, news: notice_messages.PauseNews, now: float
     ) -> list[CoordinatorEffect]:
         is_passed = news.sender in self.neighbours.known
-        self._notices.take(news, is_passed=is_passed, now=now)
+        self._notices.merge(news, is_forwarded=is_passed, now=now)
         return self._tell_pauses(now)
 
     def _tell_pauses(self, now: float) -> list[CoordinatorEffect]:
         return self._send_all(
-            self._notices.tell(
-                gateways=self.gateways.list_own(now),
+            self._notices.collect_messages(
+                gateways=self.gateways.list_homed(now),
                 coordinators=self.neighbours.list_alive(now),
                 now=now,
             )
@@ -456,7 +469,7 @@
             if self.registry.touch(name, sequence, since, now, born=born):
                 revived.append(self.registry.instances[name])
             if self.registry.find_born(name) == born:
-                self._supervisor.clear(name)
+                self._supervisor.clear_suspicion(name)
         if not revived:
             return []
         self._note_untold(revived)
@@ -466,15 +479,15 @@
         self, hello: messages.CoordinatorHello, now: float
     ) -> list[CoordinatorEffect]:
         is_new = hello.node not in self.neighbours.list_alive(now)
-        differs = self._differences.differs(
-            hello.node, hello.check, self.registry.check, now
+        differs = self._differences.needs_full_sync(
+            hello.node, hello.check, self.registry.digest, now
         )
-        self.neighbours.hear(hello, now)
+        self.neighbours.handle_hello(hello, now)
         if hello.has_traffic:
             # Only homes hear of requests from gateways.
-            self._supervisor.note_traffic()
+            self._supervisor.record_traffic()
         effects = self._send_all(
-            self.crashes.compare_coordinator(
+            self.crashes.sync_coordinator(
                 hello.node, hello.crashes, is_new=is_new, now=now
             )
         )
@@ -483,30 +496,30 @@
         news = messages.InstanceNews(
             self._identity.node,
             tuple(self.registry.instances.values()),
-            is_full=self._supervisor.knows_all(now),
+            is_full=self._supervisor.has_full_view(now),
         )
-        return [*effects, seam.Send(hello.node, news)]
+        return [*effects, interface.Send(hello.node, news)]
 
     def _take_gateway(
         self, hello: messages.GatewayHello, now: float
     ) -> list[CoordinatorEffect]:
         if hello.loads:
-            self._supervisor.note_traffic()
+            self._supervisor.record_traffic()
         is_new = not self.gateways.is_home_to(hello.node, hello.boot)
         effects = self._send_all(
-            self.crashes.compare_gateway(
+            self.crashes.sync_gateway(
                 hello.node, hello.blocked, is_new=is_new, now=now
             )
         )
         if is_new:
             effects += self._send_all(
-                self._limits.describe_new(hello.node, now)
+                self._limits.make_initial_update(hello.node, now)
             )
             effects += self._send_all(
-                self._notices.describe_new(hello.node, now)
+                self._notices.make_initial_update(hello.node, now)
             )
         effects += self._send_all(
-            self.gateways.hear(
+            self.gateways.handle_hello(
                 hello,
                 registry=self.registry,
                 known=messages.KnownCoordinators(
@@ -525,9 +538,11 @@
         for name in hello.stalled:
             effects += self._supervisor.suspect_group(name, hello.node, now)
         for flow in hello.flowing:
-            self._supervisor.note_flow(flow.name, now - flow.age_ms / 1000.0)
+            self._supervisor.record_output(
+                flow.name, now - flow.age_ms / 1000.0
+            )
         if self.gateways.needs_document(hello.node, self.version, now):
-            effects.append(seam.Send(hello.node, self._make_update(now)))
+            effects.append(interface.Send(hello.node, self._make_update(now)))
         return effects
 
     def _make_update(self, now: float) -> messages.DocumentUpdate:
@@ -549,7 +564,7 @@
             # A heartbeat of a former life, held up on its way, says nothing
             # about whether the present one lives.
             return []
-        self._supervisor.clear(instance.name)
+        self._supervisor.clear_suspicion(instance.name)
         if not self.registry.merge(instance, now):
             self._alive[instance.name] = instance.sequence
             return []
@@ -618,7 +633,8 @@
         """
         news = messages.InstanceNews(self._identity.node, tuple(changed))
         effects: list[CoordinatorEffect] = [
-            seam.Send(node, news) for node in self.neighbours.list_alive(now)
+            interface.Send(node, news)
+            for node in self.neighbours.list_alive(now)
         ]
         for instance in changed:
             effects.append(descriptions.describe_change(instance, known))
@@ -645,7 +661,9 @@
             self._identity.node, tuple(self._untold.values())
         )
         self._untold = {}
-        return [seam.Send(n, update) for n in self.gateways.list_own(now)]
+        return [
+            interface.Send(n, update) for n in self.gateways.list_homed(now)
+        ]
 
     def _take_news(
         self, news: Sequence[instances.Instance], now: float
@@ -658,7 +676,7 @@
             return []
         for instance in changed:
             if not instance.silent:
-                self._supervisor.clear(instance.name)
+                self._supervisor.clear_suspicion(instance.name)
         self._note_untold(changed)
         effects: list[CoordinatorEffect] = []
         if any(instances.is_urgent(i, before[i.name]) for i in changed):
@@ -669,13 +687,13 @@
         self, news: messages.StallNews, now: float
     ) -> list[CoordinatorEffect]:
         """Tells the other gateways what one of them saw first."""
-        own = self.gateways.list_own(now)
+        own = self.gateways.list_homed(now)
         targets = [node for node in own if node != news.sender]
         if news.sender in own:
             # From a gateway of ours; the other zones have not heard it.
             targets += self.neighbours.list_alive(now)
         passed = messages.StallNews(self._identity.node, news.heads)
-        return [seam.Send(node, passed) for node in targets]
+        return [interface.Send(node, passed) for node in targets]
 
     def _mark_lost(self, now: float) -> list[CoordinatorEffect]:
         effects: list[CoordinatorEffect] = []
@@ -688,21 +706,21 @@
     # The configuration.
 
     def _wrap(
-        self, effects: Iterable[whole.Effect], now: float
+        self, effects: Iterable[configuration_requests.Effect], now: float
     ) -> list[CoordinatorEffect]:
         wrapped: list[CoordinatorEffect] = []
         for effect in effects:
             match effect:
                 case consensus_messages.Send(node, message):
-                    wrapped.append(seam.Send(node, message))
-                case whole.SendTo(node, message):
-                    wrapped.append(seam.Send(node, message))
+                    wrapped.append(interface.Send(node, message))
+                case configuration_requests.SendTo(node, message):
+                    wrapped.append(interface.Send(node, message))
                 case consensus_messages.Answer(outcome):
                     wrapped += self._wrap(
-                        self._whole.note_outcome(outcome.change_id), now
+                        self._whole.handle_committed(outcome.change_id), now
                     )
                 case consensus_messages.Abandon(change_id):
-                    self._whole.note_abandoned(change_id)
+                    self._whole.handle_abandoned(change_id)
                 case consensus_messages.Apply():
                     wrapped += self._apply(now)
                 case _:
@@ -721,10 +739,10 @@
         if self.version == before:
             return []
         update = self._make_update(now)
-        own = self.gateways.list_own(now)
-        self.gateways.note_document(own, now)
+        own = self.gateways.list_homed(now)
+        self.gateways.record_document_sent(own, now)
         effects: list[CoordinatorEffect] = [
-            seam.Send(node, update) for node in own
+            interface.Send(node, update) for node in own
         ]
         effects.append(
             notes.note(
@@ -752,6 +770,6 @@
         raise AssertionError("a result is a success or a failure")
 
     def _send_all(
-        self, sent: Iterable[tuple[str, seam.Message]]
+        self, sent: Iterable[tuple[str, interface.Message]]
     ) -> list[CoordinatorEffect]:
-        return [seam.Send(node, message) for node, message in sent]
+        return [interface.Send(node, message) for node, message in sent]
--- a/src/hickorylead/roles/entry.py
+++ b/src/hickorylead/roles/entry.py
@@ -16,14 +16,17 @@
     messages as config_messages,
 )
 from hickorylead.crashes import (
-    exchange as exchange_module,
-    guard as guard_module,
-    ledger as ledger_module,
+    crash_guard as crash_guard_module,
+    crash_history as crash_history_module,
+    crash_tracker as crash_tracker_module,
     messages as crash_messages,
 )
-from hickorylead.membership import listener, messages as member_messages
+from hickorylead.membership import (
+    announcement_receiver,
+    messages as member_messages,
+)
 from hickorylead.requests import dispatcher as dispatcher_module, events
-from hickorylead.roles import nodes, operations, seam, status
+from hickorylead.roles import interface, nodes, operations, status
 from hickorylead.routing import (
     health,
     messages as routing_messages,
@@ -53,11 +56,11 @@
 
     Attributes:
         node: Its name.
-        controls: All control processes of all zones, by the settings.
+        control_nodes: All control processes of all zones, by the settings.
     """
 
     node: str
-    controls: tuple[str, ...]
+    control_nodes: tuple[str, ...]
 
 
 class Entry:
@@ -72,21 +75,21 @@
         """
         self._zone = nodes.get_zone(identity.node)
         self._node = identity.node
-        by_zone = nodes.group_by_zone(identity.controls)
+        by_zone = nodes.group_by_zone(identity.control_nodes)
         self._zone_controls = by_zone.get(self._zone, ())
         self._follower = follower_module.Follower(
             node=identity.node, controls=self._zone_controls
         )
-        self._listener = listener.Listener(
+        self._listener = announcement_receiver.AnnouncementReceiver(
             entry=identity.node, controls=self._zone_controls
         )
-        self._table = table_module.Table()
-        self._book = health.HealthBook()
+        self._table = table_module.ReplicaTable()
+        self._book = health.HealthTracker()
         # An entry finds out itself which replicas ended, from the table of all
         # zones. So it is its own home; control processes join what all found.
-        self._guard = guard_module.Guard(identity.node)
-        self._crashes = exchange_module.Exchange(identity.node)
-        self._told_crashes: set[ledger_module.Run] = set()
+        self._guard = crash_guard_module.CrashGuard(identity.node)
+        self._crashes = crash_tracker_module.CrashTracker(identity.node)
+        self._told_crashes: set[crash_history_module.RunKey] = set()
         self._seen_crashes = 0
         self._next_retell = 0.0
         self._dispatcher = dispatcher_module.Dispatcher(
@@ -94,14 +97,14 @@
             controls=by_zone,
             table=self._table,
             book=self._book,
-            policy=policy_module.Policy(
+            policy=policy_module.LoadBalancingPolicy(
                 zone=self._zone, table=self._table, book=self._book, rng=rng
             ),
             guard=self._guard,
         )
         self._operations = operations.Operations(
             node=identity.node,
-            controls=identity.controls,
+            controls=identity.control_nodes,
             follower=self._follower,
             trails=self._dispatcher.trails,
         )
@@ -122,7 +125,7 @@
         return self._dispatcher
 
     @property
-    def table(self) -> table_module.Table:
+    def table(self) -> table_module.ReplicaTable:
         """The replicas that this entry may use."""
         return self._table
 
@@ -142,13 +145,13 @@
         )
 
     def reduce(
-        self, event: seam.EntryEvent, now: float
-    ) -> list[seam.EntryEffect]:
+        self, event: interface.EntryEvent, now: float
+    ) -> list[interface.EntryEffect]:
         """Handles one event and returns what is to be done."""
         match event:
             case (
-                events.Arrive()
-                | events.CallerLeft()
+                events.RequestArrived()
+                | events.CallerDisconnected()
                 | events.FrameArrived()
                 | events.AnswerArrived()
                 | events.AttemptFailed()
@@ -157,26 +160,26 @@
                     self._dispatcher.handle(event, self.configuration, now)
                 )
                 return effects + self._check_stopped()
-            case seam.Tick():
+            case interface.Tick():
                 return self._tick(now)
-            case seam.MessageArrived(sender, message):
+            case interface.MessageArrived(sender, message):
                 return self._receive(sender, message, now)
-            case seam.AnnouncementArrived(announcement):
-                return _wrap(self._listener.hear(announcement, now))
-            case seam.ChangeSubmitted(change):
+            case interface.AnnouncementArrived(announcement):
+                return _wrap(self._listener.receive(announcement, now))
+            case interface.ChangeSubmitted(change):
                 return self._operations.submit(change, now)
-            case seam.StatusAsked(token):
+            case interface.StatusRequested(token):
                 return self._operations.ask_status(token, now)
-            case seam.ExplainAsked(token, request_id):
+            case interface.ExplainRequested(token, request_id):
                 return self._operations.ask_explain(token, request_id, now)
-            case seam.FoundingAsked(cluster):
+            case interface.BootstrapRequested(cluster):
                 return self._operations.ask_founding(cluster, now)
-            case seam.StopAsked():
+            case interface.StopRequested():
                 self._stopping = True
                 self._dispatcher.draining = True
                 return self._check_stopped()
 
-    def _tick(self, now: float) -> list[seam.EntryEffect]:
+    def _tick(self, now: float) -> list[interface.EntryEffect]:
         effects = _wrap(self._follower.poll(now))
         own = self._table.zones.get(self._zone)
         effects += _wrap(
@@ -195,44 +198,46 @@
         effects += self._operations.tick(now)
         return effects + self._check_stopped()
 
-    def _block(self, now: float) -> list[seam.EntryEffect]:
+    def _block(self, now: float) -> list[interface.EntryEffect]:
         """Finds the requests under which too many replicas ended."""
-        effects: list[seam.EntryEffect] = []
-        for _, news in self._guard.tell(self._node, now):
-            self._crashes.take(news, (), now)
+        effects: list[interface.EntryEffect] = []
+        for _, news in self._guard.collect_messages(self._node, now):
+            self._crashes.merge(news, (), now)
             if news.clearances:
                 cleared = attrs.evolve(news, crashes=())
                 effects += self._tell_controls(cleared)
 
-        def has_ended(life: ledger_module.Life) -> bool:
-            return self._table.has_lost(life.server)
+        def has_ended(life: crash_history_module.Incarnation) -> bool:
+            return self._table.was_removed(life.server)
 
         sent, written = self._crashes.tick(has_ended, (self._node,), now)
         for _, told in sent:
             if isinstance(told, crash_messages.BlockNews):
-                self._guard.take(told, now)
+                self._guard.apply_blocks(told, now)
         return [*effects, *written, *self._tell_crashes(now)]
 
-    def _tell_crashes(self, now: float) -> list[seam.EntryEffect]:
+    def _tell_crashes(self, now: float) -> list[interface.EntryEffect]:
         """Tells which requests ended replicas, at once and some again later.
 
         Control processes keep it in memory only; one that restarts has back
         what is blocked with the next time.
         """
-        effects: list[seam.EntryEffect] = []
-        if self._crashes.check != self._seen_crashes:
-            self._seen_crashes = self._crashes.check
+        effects: list[interface.EntryEffect] = []
+        if self._crashes.digest != self._seen_crashes:
+            self._seen_crashes = self._crashes.digest
             effects += self._tell_controls(self._find_untold(now))
         if now >= self._next_retell:
-            self._next_retell = now + exchange_module.RETELL_PERIOD_S
-            effects += self._tell_controls(self._crashes.describe_proof(now))
+            self._next_retell = now + crash_tracker_module.RETELL_PERIOD_S
+            effects += self._tell_controls(
+                self._crashes.make_evidence_update(now)
+            )
         return effects
 
     def _find_untold(self, now: float) -> crash_messages.CrashNews:
         """Returns the ended runs that no control process was told yet."""
-        news = self._crashes.describe_all(now)
+        news = self._crashes.make_full_update(now)
         ended = {
-            ledger_module.Run(c.content, c.server, c.born): c
+            crash_history_module.RunKey(c.content, c.server, c.born): c
             for c in news.crashes
             if c.has_ended
         }
@@ -244,39 +249,42 @@
 
     def _tell_controls(
         self, news: crash_messages.CrashNews
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         if not news.crashes and not news.clearances:
             return []
-        return [seam.Send(node, news) for node in self._zone_controls]
+        return [interface.Send(node, news) for node in self._zone_controls]
 
-    def _refresh(self, now: float) -> list[seam.EntryEffect]:
+    def _refresh(self, now: float) -> list[interface.EntryEffect]:
         for zone, known in list(self._table.zones.items()):
-            if zone != self._zone and now - known.heard_at > REMOTE_SILENCE_S:
-                self._table.forget_zone(zone)
+            if (
+                zone != self._zone
+                and now - known.last_update_at > REMOTE_SILENCE_S
+            ):
+                self._table.remove_zone(zone)
         self._book.refresh(
             group for z in self._table.zones.values() for group in z.replicas
         )
         own = self._table.zones.get(self._zone)
-        if own is None or now - own.heard_at > HOLDER_SILENCE_S:
+        if own is None or now - own.last_update_at > HOLDER_SILENCE_S:
             # Another process may hold the lease now: tell all of them.
             self._holder = ""
         if own is None or not own.complete:
             return self._ask_table(self._zone)
         return []
 
-    def _ask_table(self, zone: str) -> list[seam.EntryEffect]:
+    def _ask_table(self, zone: str) -> list[interface.EntryEffect]:
         request = routing_messages.TableRequest(self._node, zone)
-        return [seam.Send(node, request) for node in self._zone_controls]
+        return [interface.Send(node, request) for node in self._zone_controls]
 
     def _receive(
-        self, sender: str, message: seam.Message, now: float
-    ) -> list[seam.EntryEffect]:
+        self, sender: str, message: interface.Message, now: float
+    ) -> list[interface.EntryEffect]:
         match message:
             case routing_messages.TableUpdate(zone):
                 if zone == self._zone:
                     self._holder = sender
-                effects: list[seam.EntryEffect] = []
-                if self._table.update(message, now):
+                effects: list[interface.EntryEffect] = []
+                if self._table.apply_update(message, now):
                     effects += self._ask_table(zone)
                 return effects + _wrap(self._dispatcher.dispatch_all(now))
             case routing_messages.Withdrawal():
@@ -287,7 +295,7 @@
             case member_messages.ResendRequest():
                 return _wrap(self._listener.resend(sender))
             case crash_messages.BlockNews():
-                self._guard.take(message, now)
+                self._guard.apply_blocks(message, now)
                 return []
             case config_messages.ConfigurationUpdate():
                 self._follower.receive(message, now)
@@ -302,30 +310,32 @@
                 return self._operations.receive_status(message, now)
             case status.ExplainRequest(asker, token, request_id):
                 reply = self._operations.explain(token, request_id)
-                return [seam.Send(sender, attrs.evolve(reply, asker=asker))]
+                return [
+                    interface.Send(sender, attrs.evolve(reply, asker=asker))
+                ]
             case status.ExplainReply():
                 return self._operations.receive_explain(message)
             case _:
                 # Meant for a control process; a wrong address in settings.
                 return []
 
-    def _check_stopped(self) -> list[seam.EntryEffect]:
+    def _check_stopped(self) -> list[interface.EntryEffect]:
         if (
             self._stopping
             and not self._stopped
             and not self._dispatcher.count_open()
         ):
             self._stopped = True
-            return [seam.Stopped()]
+            return [interface.Stopped()]
         return []
 
 
 def _wrap(
     effects: Iterable[_ToSend | events.Effect],
-) -> list[seam.EntryEffect]:
+) -> list[interface.EntryEffect]:
     """Returns the effects of the parts as effects of the role."""
     return [
-        seam.Send(effect.node, effect.message)
+        interface.Send(effect.node, effect.message)
         if isinstance(effect, _ToSend)
         else effect
         for effect in effects
--- a/src/hickorylead/roles/gateway.py
+++ b/src/hickorylead/roles/gateway.py
@@ -14,28 +14,28 @@
 from hickorylead import notes
 from hickorylead.admission import budget as budget_module
 from hickorylead.crashes import (
-    guard as guard_module,
+    crash_guard as crash_guard_module,
     messages as crash_messages,
 )
 from hickorylead.fleet import messages, registry as registry_module
 from hickorylead.forwarding import (
     choice as choice_module,
     events,
-    fleetview,
     forwarder as forwarder_module,
     health,
+    replica_directory,
     routes as routes_module,
 )
 from hickorylead.notices import (
-    book as book_module,
     messages as notice_messages,
-    teller as teller_module,
+    notice_reporter as notice_reporter_module,
+    notice_store as notice_store_module,
 )
 from hickorylead.ratelimits import (
     messages as limit_messages,
-    permits as permits_module,
+    permit_pool as permit_pool_module,
 )
-from hickorylead.roles import nodes, seam
+from hickorylead.roles import interface, nodes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -70,17 +70,20 @@
 # only after this long, in seconds: one that is up to date answers before.
 STALE_WAIT_S = 1.2
 # A replica gives something at least this often if it works, in seconds.
-FLOW_S = 0.4
+PROGRESS_WINDOW_S = 0.4
 FORGET_INSTANCE_S = 60.0
-FORGET_PERIOD_S = 5.0
+CLEANUP_PERIOD_S = 5.0
 # Shortest time between two reports of servers at fault, in seconds: a group
 # that lost a member refuses every request.
 FAULTY_SERVERS_PERIOD_S = 1.0
 
 GatewayEvent: TypeAlias = (
-    seam.Tick | seam.MessageArrived | seam.StopAsked | events.Event
+    interface.Tick
+    | interface.MessageArrived
+    | interface.StopRequested
+    | events.Event
 )
-GatewayEffect: TypeAlias = seam.Send | seam.Stopped | events.Effect
+GatewayEffect: TypeAlias = interface.Send | interface.Stopped | events.Effect
 
 
 @attrs.frozen
@@ -91,13 +94,13 @@
         node: Its name.
         boot: Tells its lives apart.
         seeds: Addresses of a few coordinators, for their peers.
-        retries: Retries that all gateways may make together.
+        retry_limits: Retries that all gateways may make together.
     """
 
     node: str
     boot: int
     seeds: tuple[str, ...]
-    retries: budget_module.RetryLimits = budget_module.DEFAULT_LIMITS
+    retry_limits: budget_module.RetryLimits = budget_module.DEFAULT_RETRY_LIMITS
 
 
 class Gateway:
@@ -125,30 +128,30 @@
         self._zone = nodes.get_zone(identity.node)
         self._read_document = read_document
         self._registry = registry_module.Registry()
-        self._view = fleetview.FleetView(self._registry)
-        self._book = health.HealthBook()
-        self._guard = guard_module.Guard(identity.node)
-        self._notices = book_module.NoticeBook()
-        self._teller = teller_module.Teller(
-            identity.node, book=self._notices, registry=self._registry
+        self._view = replica_directory.ReplicaDirectory(self._registry)
+        self._book = health.HealthTracker()
+        self._guard = crash_guard_module.CrashGuard(identity.node)
+        self._notices = notice_store_module.NoticeStore()
+        self._teller = notice_reporter_module.NoticeReporter(
+            identity.node, notices=self._notices, registry=self._registry
         )
-        self._permits = permits_module.Permits(
+        self._permits = permit_pool_module.PermitPool(
             identity.node, first=identity.boot, rng=rng
         )
         self._forwarder = forwarder_module.Forwarder(
             chooser=choice_module.Chooser(
                 zone=self._zone,
-                view=self._view,
-                book=self._book,
+                directory=self._view,
+                health=self._book,
                 notices=self._notices,
                 permits=self._permits,
                 rng=rng,
             ),
-            book=self._book,
+            health=self._book,
             guard=self._guard,
             notices=self._notices,
             permits=self._permits,
-            limits=identity.retries,
+            limits=identity.retry_limits,
             started_at=now,
         )
         self.routes: routes_module.RouteTable | None = None
@@ -157,7 +160,7 @@
         self._coordinators: dict[str, str] = {}
         self._heard_at: dict[str, float] = {}
         self._next_hello = now
-        self._next_forget = now + FORGET_PERIOD_S
+        self._next_forget = now + CLEANUP_PERIOD_S
         self._next_faulty_servers = now
         self._told_stalled: set[str] = set()
         self._next_far = now
@@ -199,7 +202,7 @@
         """Takes new seeds from changed settings."""
         self._identity = attrs.evolve(self._identity, seeds=seeds)
 
-    def find_pause(self, now: float) -> float:
+    def get_tick_delay(self, now: float) -> float:
         """Returns the time to the next tick, in seconds.
 
         Most ticks found nothing to do: a replica gives something to each of
@@ -207,7 +210,7 @@
         """
         if not self._forwarder.count_open():
             return IDLE_TICK_S
-        due_s = self._forwarder.find_next(now) - now
+        due_s = self._forwarder.find_next_wakeup(now) - now
         return min(LONGEST_TICK_S, max(TICK_S, due_s))
 
     def count_replicas(self) -> dict[str, int]:
@@ -217,15 +220,15 @@
             "instances": len(self._registry.list_present()),
         }
 
-    def count_blocked(self) -> int:
+    def count_blocked_requests(self) -> int:
         """Returns how many contents no replica gets."""
         return self._guard.count_blocked()
 
-    def count_paused(self, now: float) -> int:
+    def count_paused_servers(self, now: float) -> int:
         """Returns how many servers want no request from here for now."""
         return self._notices.count_paused(now)
 
-    def count_limited(self) -> int:
+    def count_rate_limited_replicas(self) -> int:
         """Returns how many replicas name a rate limit."""
         return self._permits.table.count_named()
 
@@ -236,16 +239,16 @@
     def reduce(self, event: GatewayEvent, now: float) -> list[GatewayEffect]:
         """Handles one event and returns what is to be done."""
         match event:
-            case seam.Tick():
+            case interface.Tick():
                 return self._tick(now)
-            case seam.MessageArrived(sender, message):
+            case interface.MessageArrived(sender, message):
                 return self._receive(sender, message, now)
-            case seam.StopAsked():
+            case interface.StopRequested():
                 self._stopping = True
                 return [notes.note("stopping", open=self.count_open())]
             case _:
                 effects = [*self._forwarder.handle(event, now)]
-                if self._permits.is_needed:
+                if self._permits.has_urgent_demand:
                     # The request waits: a tick later is too late.
                     home = self._find_home(now)
                     return [*effects, *self._tell_limits(home, now)]
@@ -256,9 +259,15 @@
         stalled = set(self._book.list_stalled(now))
         news = stalled - self._told_stalled
         home = self._find_home(now)
-        effects += [seam.Send(*sent) for sent in self._guard.tell(home, now)]
+        effects += [
+            interface.Send(*sent)
+            for sent in self._guard.collect_messages(home, now)
+        ]
         effects += self._tell_limits(home, now)
-        effects += [seam.Send(*sent) for sent in self._teller.tell(home, now)]
+        effects += [
+            interface.Send(*sent)
+            for sent in self._teller.collect_messages(home, now)
+        ]
         if home and now >= self._next_faulty_servers:
             effects += self._tell_faulty_servers(home, now)
         # A home that is lost or found is greeted about at once: until then
@@ -269,7 +278,7 @@
                 told = messages.StallNews(
                     self._identity.node, tuple(sorted(news))
                 )
-                effects.append(seam.Send(home, told))
+                effects.append(interface.Send(home, told))
             is_idle = self.routes and not self._forwarder.count_open()
             self._next_hello = now + (
                 IDLE_HELLO_PERIOD_S if is_idle else HELLO_PERIOD_S
@@ -280,11 +289,11 @@
             if self.routes is None:
                 effects += self._take_document(stale)
         if now >= self._next_forget:
-            self._next_forget = now + FORGET_PERIOD_S
-            self._registry.forget(now, FORGET_INSTANCE_S)
-            self._book.forget(set(self._registry.instances))
-            self._permits.forget(now)
-            self._notices.forget(now)
+            self._next_forget = now + CLEANUP_PERIOD_S
+            self._registry.prune(now, FORGET_INSTANCE_S)
+            self._book.retain(set(self._registry.instances))
+            self._permits.prune(now)
+            self._notices.prune(now)
         return effects
 
     def _tell_faulty_servers(
@@ -295,14 +304,19 @@
         A head can detect the loss of a member before the coordinator misses
         heartbeats.
         """
-        names = self._forwarder.take_faulty_servers()
+        names = self._forwarder.pop_faulty_servers()
         if not names:
             return []
         self._next_faulty_servers = now + FAULTY_SERVERS_PERIOD_S
-        return [seam.Send(home, messages.StallNews(self._identity.node, names))]
+        return [
+            interface.Send(home, messages.StallNews(self._identity.node, names))
+        ]
 
     def _tell_limits(self, home: str, now: float) -> list[GatewayEffect]:
-        return [seam.Send(*sent) for sent in self._permits.tell(home, now)]
+        return [
+            interface.Send(*sent)
+            for sent in self._permits.collect_messages(home, now)
+        ]
 
     # Coordinators.
 
@@ -339,17 +353,19 @@
                 node=self._identity.node,
                 boot=self._identity.boot,
                 version=document.version if document else 0,
-                check=self._registry.check,
+                check=self._registry.digest,
                 is_home=is_home,
                 loads=self._list_loads() if is_home else (),
                 stalled=stalled,
                 flowing=tuple(
                     messages.HeadFlow(name, int(age_s * 1000))
-                    for name, age_s in self._book.list_flowing(FLOW_S, now)
+                    for name, age_s in self._book.list_progressing(
+                        PROGRESS_WINDOW_S, now
+                    )
                 ),
-                blocked=self._guard.find_check(now),
+                blocked=self._guard.compute_digest(now),
             )
-            effects.append(seam.Send(node, hello))
+            effects.append(interface.Send(node, hello))
         return effects
 
     def _find_zones(self, heads: tuple[str, ...]) -> set[str]:
@@ -389,13 +405,13 @@
 
     def _list_loads(self) -> tuple[messages.HeadLoad, ...]:
         return tuple(
-            messages.HeadLoad(name, seen.running)
-            for name, seen in self._book.seen.items()
-            if seen.running
+            messages.HeadLoad(name, seen.own_requests)
+            for name, seen in self._book.stats.items()
+            if seen.own_requests
         )
 
     def _receive(
-        self, sender: str, message: seam.Message, now: float
+        self, sender: str, message: interface.Message, now: float
     ) -> list[GatewayEffect]:
         self._heard_at[sender] = now
         if sender not in self._coordinators:
@@ -407,18 +423,18 @@
                 self._take_loads(loads)
                 self._note_fresh(sender, is_fresh, now)
                 if sender == self._home:
-                    self._forwarder.note_gateways(gateways, now)
+                    self._forwarder.set_gateway_count(gateways, now)
             case crash_messages.BlockNews():
-                self._guard.take(message, now)
+                self._guard.apply_blocks(message, now)
             case limit_messages.LimitNews(_, limits):
-                self._permits.take_news(limits, now)
+                self._permits.merge_limits(limits, now)
             case limit_messages.PermitReply():
-                if self._permits.take_reply(message, now):
-                    return [*self._forwarder.try_waiting(now)]
+                if self._permits.handle_reply(message, now):
+                    return [*self._forwarder.dispatch_waiting(now)]
             case notice_messages.PauseNews(_, pauses):
-                self._notices.take_news(pauses, now)
+                self._notices.merge_pauses(pauses, now)
             case messages.StallNews(_, heads):
-                return [*self._forwarder.take_stalls(heads, now)]
+                return [*self._forwarder.handle_reported_stalls(heads, now)]
             case messages.KnownCoordinators(_, names, addresses, is_fresh):
                 self._note_fresh(sender, is_fresh, now)
                 # One that has just started knows few others yet.
@@ -452,7 +468,7 @@
             case result.Success(found):
                 self.routes = routes_module.RouteTable(found)
                 self._forwarder.document = found
-                self._view.follow(found)
+                self._view.set_document(found)
                 return [
                     notes.note(
                         "configuration_applied",
@@ -475,5 +491,7 @@
 
     def _take_loads(self, loads: tuple[messages.HeadLoad, ...]) -> None:
         told = {load.name: load.running for load in loads}
-        for name, seen in self._book.seen.items():
-            seen.others = max(0, told.get(name, 0) - seen.running)
+        for name, seen in self._book.stats.items():
+            seen.other_gateway_requests = max(
+                0, told.get(name, 0) - seen.own_requests
+            )
--- a/src/hickorylead/roles/seam.py
+++ b/src/hickorylead/roles/interface.py
@@ -54,10 +54,10 @@
     """Event: time has passed; to be given about every TICK_S.
 
     Attributes:
-        wall: Wall-clock time, in Unix seconds.
+        wall_time: Wall-clock time, in Unix seconds.
     """
 
-    wall: float
+    wall_time: float
 
 
 TICK_S = 0.1
@@ -70,12 +70,12 @@
     Attributes:
         sender: Its node name.
         message: The message.
-        wall: Wall-clock time, in Unix seconds.
+        wall_time: Wall-clock time, in Unix seconds.
     """
 
     sender: str
     message: Message
-    wall: float
+    wall_time: float
 
 
 @attrs.frozen
@@ -93,14 +93,14 @@
 
 
 @attrs.frozen
-class StatusAsked:
+class StatusRequested:
     """Event: an operator asked this entry for the status."""
 
     token: str
 
 
 @attrs.frozen
-class ExplainAsked:
+class ExplainRequested:
     """Event: an operator asked this entry about a request."""
 
     token: str
@@ -108,14 +108,14 @@
 
 
 @attrs.frozen
-class FoundingAsked:
+class BootstrapRequested:
     """Event: an operator asked this entry to start a cluster."""
 
     cluster: str
 
 
 @attrs.frozen
-class StopAsked:
+class StopRequested:
     """Event: this process is asked to stop gracefully."""
 
 
@@ -124,10 +124,10 @@
     "| MessageArrived "
     "| AnnouncementArrived "
     "| ChangeSubmitted "
-    "| StatusAsked "
-    "| ExplainAsked "
-    "| FoundingAsked "
-    "| StopAsked "
+    "| StatusRequested "
+    "| ExplainRequested "
+    "| BootstrapRequested "
+    "| StopRequested "
     "| request_events.Event"
 )
 ControlEvent: TypeAlias = Tick | MessageArrived
@@ -161,7 +161,7 @@
     """Effect: answer an operator's question for the status."""
 
     token: str
-    controls: tuple[status.ControlStatus, ...]
+    statuses: tuple[status.ControlStatus, ...]
 
 
 @attrs.frozen
@@ -173,7 +173,7 @@
 
 
 @attrs.frozen
-class AnswerFounding:
+class AnswerBootstrap:
     """Effect: answer an operator's request to start a cluster."""
 
     cluster: str
@@ -191,9 +191,11 @@
     "| AnswerChange "
     "| AnswerStatus "
     "| AnswerExplain "
-    "| AnswerFounding "
+    "| AnswerBootstrap "
     "| Stopped "
     "| notes.Note "
     "| request_events.Effect"
 )
-ControlEffect: TypeAlias = "Send | consensus_messages.Persist | orders.Give"
+ControlEffect: TypeAlias = (
+    "Send | consensus_messages.Persist | orders.SendOrder"
+)
--- a/src/hickorylead/roles/nodes.py
+++ b/src/hickorylead/roles/nodes.py
@@ -13,7 +13,7 @@
 COORDINATOR = "coordinator"
 
 
-def name_node(zone: str, vm: str, role: str) -> str:
+def make_node_name(zone: str, vm: str, role: str) -> str:
     """Returns the name of a process."""
     return f"{zone}/{vm}/{role}"
 
@@ -31,15 +31,15 @@
     return {zone: tuple(names) for zone, names in zones.items()}
 
 
-def name_request(entry: str, boot: int, count: int) -> str:
+def make_request_id(entry: str, boot: int, count: int) -> str:
     """Returns a request id, which tells which entry took the request."""
     zone, vm, _ = entry.split("/")
     return f"{zone}.{vm}.{boot:x}-{count:x}"
 
 
-def find_entry(request_id: str) -> str | None:
+def parse_entry_node(request_id: str) -> str | None:
     """Returns the entry that took a request, by its id."""
     parts = request_id.split(".")
     if len(parts) != 3 or not all(parts):
         return None
-    return name_node(parts[0], parts[1], ENTRY)
+    return make_node_name(parts[0], parts[1], ENTRY)
--- a/src/hickorylead/roles/operations.py
+++ b/src/hickorylead/roles/operations.py
@@ -12,13 +12,13 @@
     messages,
     model as configuration_model,
 )
-from hickorylead.roles import nodes, seam, status
+from hickorylead.roles import interface, nodes, status
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from hickorylead.configuration import follower
-    from hickorylead.requests import trail
+    from hickorylead.requests import history
 
 RESEND_PERIOD_S = 1.0
 CHANGE_TIMEOUT_S = 6.0
@@ -68,7 +68,7 @@
         node: str,
         controls: Sequence[str],
         follower: follower.Follower,
-        trails: trail.TrailBook,
+        trails: history.HistoryStore,
     ) -> None:
         """Makes the part of an entry that speaks with operators.
 
@@ -92,9 +92,9 @@
         self._explains: dict[str, float] = {}
         self._foundings: dict[str, _Founding] = {}
 
-    def tick(self, now: float) -> list[seam.EntryEffect]:
+    def tick(self, now: float) -> list[interface.EntryEffect]:
         """Sends again what was not answered, and gives up what is overdue."""
-        effects: list[seam.EntryEffect] = []
+        effects: list[interface.EntryEffect] = []
         for pending in list(self._changes.values()):
             effects += self._push_change(pending, now)
         for token, gathering in list(self._gatherings.items()):
@@ -114,7 +114,7 @@
 
     def submit(
         self, change: changes.Change, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Takes a change; a resend joins the one under way."""
         if change.change_id in self._changes:
             return []
@@ -130,7 +130,7 @@
 
     def receive_reply(
         self, sender: str, reply: messages.ChangeReply, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Takes a control process's reply to a change."""
         change_id = reply.outcome.change_id
         pending = self._changes.get(change_id)
@@ -138,7 +138,7 @@
             return []
         if reply.final:
             del self._changes[change_id]
-            return [seam.AnswerChange(change_id, reply.outcome)]
+            return [interface.AnswerChange(change_id, reply.outcome)]
         pending.unanswered[sender] -= 1
         if reply.lost:
             # Appended, then the leader lost its majority. The next leader
@@ -153,7 +153,7 @@
 
     def _push_change(
         self, pending: _Change, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         if not pending.checked:
             return []
         change_id = pending.change.change_id
@@ -163,7 +163,9 @@
         ):
             del self._changes[change_id]
             return [
-                seam.AnswerChange(change_id, None, may_apply=pending.may_apply)
+                interface.AnswerChange(
+                    change_id, None, may_apply=pending.may_apply
+                )
             ]
         if now < pending.next_send:
             return []
@@ -178,14 +180,14 @@
         pending.target = ""
         pending.unanswered[target] += 1
         request = messages.ChangeRequest(self._node, pending.change)
-        return [seam.Send(target, request)]
+        return [interface.Send(target, request)]
 
     def _check_change(
         self,
         pending: _Change,
         controls: Sequence[status.ControlStatus],
         now: float,
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         problem = _check_room(
             pending.change.operation, controls, self._follower.configuration
         )
@@ -197,17 +199,17 @@
         outcome = changes.Outcome(
             change_id, False, self._follower.version, "does_not_fit", problem
         )
-        return [seam.AnswerChange(change_id, outcome)]
+        return [interface.AnswerChange(change_id, outcome)]
 
     # Questions.
 
-    def ask_status(self, token: str, now: float) -> list[seam.EntryEffect]:
+    def ask_status(self, token: str, now: float) -> list[interface.EntryEffect]:
         """Asks every control process for its status."""
         return self._gather(token, now)
 
     def receive_status(
         self, reply: status.StatusReply, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Takes one control process's status."""
         gathering = self._gatherings.get(reply.token)
         if gathering is None:
@@ -217,37 +219,39 @@
             return []
         return self._finish_gathering(reply.token, now)
 
-    def _gather(self, token: str, now: float) -> list[seam.EntryEffect]:
+    def _gather(self, token: str, now: float) -> list[interface.EntryEffect]:
         self._gatherings[token] = _Gathering(now)
         request = status.StatusRequest(self._node, token)
-        return [seam.Send(node, request) for node in self._controls]
+        return [interface.Send(node, request) for node in self._controls]
 
     def _finish_gathering(
         self, token: str, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         gathering = self._gatherings.pop(token)
         found = tuple(s for _, s in sorted(gathering.controls.items()))
         change_id = _get_checked(token)
         if change_id is None:
-            return [seam.AnswerStatus(token, found)]
+            return [interface.AnswerStatus(token, found)]
         pending = self._changes.get(change_id)
         return self._check_change(pending, found, now) if pending else []
 
     def ask_explain(
         self, token: str, request_id: str, now: float
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Asks the entry that took a request, which may be this one."""
-        owner = nodes.find_entry(request_id)
+        owner = nodes.parse_entry_node(request_id)
         if owner == self._node:
-            return [seam.AnswerExplain(token, self.explain(token, request_id))]
+            return [
+                interface.AnswerExplain(token, self.explain(token, request_id))
+            ]
         zone = nodes.get_zone(owner) if owner else ""
         relays = [n for n in self._controls if nodes.get_zone(n) == zone]
         if not relays:
             not_found = status.ExplainReply(token, found=False)
-            return [seam.AnswerExplain(token, not_found)]
+            return [interface.AnswerExplain(token, not_found)]
         self._explains[token] = now
         request = status.ExplainRequest(self._node, token, request_id)
-        return [seam.Send(node, request) for node in relays]
+        return [interface.Send(node, request) for node in relays]
 
     def explain(self, token: str, request_id: str) -> status.ExplainReply:
         """Returns what happened to a request of this entry."""
@@ -256,12 +260,12 @@
             return status.ExplainReply(token, found=False)
         steps = tuple(
             status.ExplainStep(
-                step.after_s,
-                step.what,
+                step.elapsed_s,
+                step.code,
                 step.detail,
                 tuple(
                     f"{w.group} {w.cost:.3f}{' prefix' if w.preferred else ''}"
-                    for w in step.weighed
+                    for w in step.candidates
                 ),
             )
             for step in found.steps
@@ -272,7 +276,7 @@
 
     def receive_explain(
         self, reply: status.ExplainReply
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Takes another entry's answer; several may come, the first counts."""
         if reply.token not in self._explains:
             return []
@@ -280,38 +284,40 @@
 
     def _answer_explain(
         self, reply: status.ExplainReply
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         del self._explains[reply.token]
-        return [seam.AnswerExplain(reply.token, reply)]
+        return [interface.AnswerExplain(reply.token, reply)]
 
     # The start of a cluster.
 
-    def ask_founding(self, cluster: str, now: float) -> list[seam.EntryEffect]:
+    def ask_founding(
+        self, cluster: str, now: float
+    ) -> list[interface.EntryEffect]:
         """Asks the control processes to start a cluster.
 
         They are asked in one order; the first one with a data folder does it.
         """
         self._foundings[cluster] = _Founding(now)
         request = messages.IdentityRequest(self._node)
-        return [seam.Send(node, request) for node in self._controls]
+        return [interface.Send(node, request) for node in self._controls]
 
     def receive_identity(
         self, reply: messages.IdentityReply
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Passes the request on to the first process with a data folder."""
         if not reply.member:
             return []
-        effects: list[seam.EntryEffect] = []
+        effects: list[interface.EntryEffect] = []
         for cluster, founding in self._foundings.items():
             if not founding.passed_on:
                 founding.passed_on = True
                 request = messages.FoundRequest(self._node, cluster)
-                effects.append(seam.Send(reply.node, request))
+                effects.append(interface.Send(reply.node, request))
         return effects
 
     def receive_founding(
         self, reply: messages.FoundReply
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         """Takes the answer to the start of a cluster."""
         if reply.cluster not in self._foundings:
             return []
@@ -319,9 +325,9 @@
 
     def _answer_founding(
         self, cluster: str, done: bool, detail: str
-    ) -> list[seam.EntryEffect]:
+    ) -> list[interface.EntryEffect]:
         del self._foundings[cluster]
-        return [seam.AnswerFounding(cluster, done, detail)]
+        return [interface.AnswerBootstrap(cluster, done, detail)]
 
 
 _CHECK_PREFIX = "check:"
--- a/src/hickorylead/roles/zoneholder.py
+++ b/src/hickorylead/roles/zoneholder.py
@@ -22,13 +22,13 @@
     from collections.abc import Mapping, Sequence
 
     from hickorylead.configuration import model
-    from hickorylead.lease import zone as lease_zone
+    from hickorylead.lease import zone_lease
     from hickorylead.membership import (
         announcements,
         registry as registry_module,
     )
 
-Effect: TypeAlias = orders.Give | messages.Send
+Effect: TypeAlias = orders.SendOrder | messages.Send
 
 PLAN_PERIOD_S = 0.5
 # With nothing new and nothing under way the plan is only looked over.
@@ -47,8 +47,8 @@
         *,
         node: str,
         controls: Sequence[str],
-        registry: registry_module.Registry,
-        lease: lease_zone.Lease,
+        registry: registry_module.MembershipRegistry,
+        lease: zone_lease.ZoneLease,
         policy: planner_module.Policy,
         now: float,
     ) -> None:
@@ -71,7 +71,7 @@
         )
         self._planner = planner_module.Planner(zone=self._zone, policy=policy)
         self._publisher = publisher_module.Publisher(zone=self._zone)
-        self._remote = table_module.Table()
+        self._remote = table_module.ReplicaTable()
         self._takeover = takeover_module.Takeover(
             zone=self._zone, zones=map(nodes.get_zone, controls), now=now
         )
@@ -98,13 +98,13 @@
         present = self._registry.members
         self._withdrawn = {w for w in self._withdrawn if w[0] in present}
         for zone, remote in list(self._remote.zones.items()):
-            if now - remote.heard_at > REMOTE_SILENCE_S:
-                self._remote.forget_zone(zone)
+            if now - remote.last_update_at > REMOTE_SILENCE_S:
+                self._remote.remove_zone(zone)
         if now < self._next_plan:
             return []
         self._next_plan = now + PLAN_PERIOD_S
         self._takeover.tick(now)
-        if not self._lease.may_order(now):
+        if not self._lease.may_issue_orders(now):
             self._adopted_fence = 0
             return []
         if not self._adopted_fence:
@@ -112,13 +112,13 @@
             self._planner.adopt(self._registry.members)
             self._planned_at = self._measured_at = now
             self._planned_for = None
-        self._adopted_fence = self._lease.number
+        self._adopted_fence = self._lease.fencing_number
         effects: list[Effect] = []
         state = (
-            self._lease.number,
+            self._lease.fencing_number,
             self._registry.changes,
             configuration.version if configuration else -1,
-            self._takeover.lost,
+            self._takeover.lost_zones,
         )
         if (
             state != self._planned_for
@@ -135,7 +135,7 @@
                 *sorted(self._registry.entries),
                 *self._list_remote(now),
             ],
-            fence=self._lease.number,
+            fence=self._lease.fencing_number,
             now=now,
         )
         return effects
@@ -151,7 +151,7 @@
                 members=self._registry.members,
                 configuration=configuration,
                 shares=shares,
-                fence=self._lease.number,
+                fence=self._lease.fencing_number,
                 now=now,
             )
         ]
@@ -171,9 +171,9 @@
                 if zone == self._zone:
                     return []
                 self._remote_holders[zone] = sender
-                self._takeover.hear(zone, now)
+                self._takeover.record_heartbeat(zone, now)
                 effects: list[messages.Send] = []
-                if self._remote.update(message, now):
+                if self._remote.apply_update(message, now):
                     request = messages.TableRequest(self._node, zone)
                     effects.append(messages.Send(sender, request))
                 if self._lease.is_held(now):
@@ -208,7 +208,7 @@
 
     def may_order(self, now: float) -> bool:
         """Says whether an order may be given at this moment."""
-        return self._lease.may_order(now)
+        return self._lease.may_issue_orders(now)
 
     @property
     def groups(self) -> Mapping[str, groups_module.Group]:
@@ -259,7 +259,7 @@
         if zone == self._zone:
             if not self._adopted_fence:
                 return []
-            full = self._publisher.make_full(self._registry.members)
+            full = self._publisher.make_full_update(self._registry.members)
             return [messages.Send(node, full)]
         remote = self._remote.zones.get(zone)
         if remote is None or not remote.complete:
@@ -285,7 +285,7 @@
             remote = self._remote.zones.get(zone)
             is_fresh = (
                 remote is not None
-                and now - remote.heard_at <= REMOTE_HOLDER_SILENCE_S
+                and now - remote.last_update_at <= REMOTE_HOLDER_SILENCE_S
             )
             if not is_fresh or self._remote_holders.get(zone) == node:
                 listeners.append(node)
@@ -297,7 +297,7 @@
         serving = collections.Counter(
             group.service
             for group in self._planner.groups.values()
-            if groups_module.is_whole(group, self._registry.members)
+            if groups_module.is_ready(group, self._registry.members)
         )
         return tuple(
             status.ServiceStatus(service.name, wanted, serving[service.name])
@@ -314,5 +314,5 @@
             return "draining"
         if group.broken_since is not None:
             return "broken"
-        whole = groups_module.is_whole(group, self._registry.members)
+        whole = groups_module.is_ready(group, self._registry.members)
         return "serving" if whole else "loading"
--- a/src/hickorylead/routing/health.py
+++ b/src/hickorylead/routing/health.py
@@ -31,8 +31,8 @@
         failures: Failures in a row.
         ejected_until: No new work before this time, after failures.
         paused_until: No new work before this time, as the server asked for.
-        sent: When each request since the last load report was sent.
-        done: When each request since the last load report ended.
+        send_times: When each request since the last load report was sent.
+        end_times: When each request since the last load report ended.
     """
 
     inflight: int = 0
@@ -41,11 +41,11 @@
     failures: int = 0
     ejected_until: float = -1e9
     paused_until: float = -1e9
-    sent: list[float] = attrs.field(factory=list)
-    done: list[float] = attrs.field(factory=list)
+    send_times: list[float] = attrs.field(factory=list)
+    end_times: list[float] = attrs.field(factory=list)
 
 
-class HealthBook:
+class HealthTracker:
     """Health of all replicas, by group."""
 
     def __init__(self) -> None:
@@ -60,17 +60,17 @@
             health = self._by_group[group] = Health()
         return health
 
-    def count_start(self, group: str, now: float) -> None:
+    def record_start(self, group: str, now: float) -> None:
         """Counts a request sent to a group."""
         health = self.get(group)
         health.inflight += 1
-        health.sent.append(now)
+        health.send_times.append(now)
 
-    def count_end(self, group: str, now: float) -> None:
+    def record_end(self, group: str, now: float) -> None:
         """Counts a request that ended there, well or not."""
         health = self.get(group)
         health.inflight = max(0, health.inflight - 1)
-        health.done.append(now)
+        health.end_times.append(now)
 
     def note_gap(self, group: str, gap_s: float, now: float) -> None:
         """Takes the time between two frames of one stream."""
@@ -82,7 +82,7 @@
             health.gap_s += SMOOTHING * (gap_s - health.gap_s)
         health.failures = 0
 
-    def note_failure(self, group: str, now: float) -> None:
+    def record_failure(self, group: str, now: float) -> None:
         """Takes a failure: no new work for a while, longer each time."""
         health = self.get(group)
         health.failures += 1
@@ -124,7 +124,7 @@
         is older than the report is in it, and is forgotten here.
         """
         health = self.get(group)
-        health.sent = [at for at in health.sent if at > reported_at]
-        health.done = [at for at in health.done if at > reported_at]
-        corrected = reported + len(health.sent) - len(health.done)
+        health.send_times = [at for at in health.send_times if at > reported_at]
+        health.end_times = [at for at in health.end_times if at > reported_at]
+        corrected = reported + len(health.send_times) - len(health.end_times)
         return max(health.inflight, corrected)
--- a/src/hickorylead/routing/policy.py
+++ b/src/hickorylead/routing/policy.py
@@ -55,7 +55,7 @@
     """The replica taken, and all that were weighed for it."""
 
     replica: messages.Replica
-    weighed: tuple[Weighed, ...]
+    candidates: tuple[Weighed, ...]
 
 
 @attrs.frozen
@@ -63,25 +63,25 @@
     """No replica can take the request now.
 
     Attributes:
-        exists: Whether the service has any replica that this request has
-            not failed on; if so, waiting may help.
+        has_untried_replica: Whether the service has any replica that this
+            request has not failed on; if so, waiting may help.
         pause_s: When the first of these takes work again, in seconds, if each
             of them asked for a pause; 0 if not.
     """
 
-    exists: bool
+    has_untried_replica: bool
     pause_s: float = 0.0
 
 
-class Policy:
+class LoadBalancingPolicy:
     """Chooses replicas for one entry."""
 
     def __init__(
         self,
         *,
         zone: str,
-        table: table.Table,
-        book: health.HealthBook,
+        table: table.ReplicaTable,
+        book: health.HealthTracker,
         rng: random.Random,
     ) -> None:
         """Makes a policy.
@@ -123,7 +123,7 @@
                 return choice
         pauses = [self._book.get(r.group).paused_until - now for r in usable]
         pause_s = max(0.0, min(pauses, default=0.0))
-        return Unavailable(exists=bool(usable), pause_s=pause_s)
+        return Unavailable(has_untried_replica=bool(usable), pause_s=pause_s)
 
     def _is_healthy(self, replica: messages.Replica, now: float) -> bool:
         health = self._book.get(replica.group)
@@ -148,10 +148,10 @@
     def _prefer(
         self, candidates: list[messages.Replica], request: model.Request
     ) -> list[messages.Replica]:
-        if not request.prefixes:
+        if not request.prefix_hashes:
             return []
         by_group = {replica.group: replica for replica in candidates}
-        ranked = rendezvous.rank_names(request.prefixes[0], by_group)
+        ranked = rendezvous.rank_names(request.prefix_hashes[0], by_group)
         return [by_group[group] for group in ranked[:PREFERRED]]
 
     def _take_best(
@@ -185,7 +185,9 @@
         if reported is None:
             return self._book.get(replica.group).inflight
         return self._book.estimate_load(
-            replica.group, reported.requests, reported.at - REPORT_LAG_S
+            replica.group,
+            reported.requests,
+            reported.reported_at - REPORT_LAG_S,
         )
 
     def _weigh(
--- a/src/hickorylead/routing/publisher.py
+++ b/src/hickorylead/routing/publisher.py
@@ -13,7 +13,7 @@
     from hickorylead.membership import registry
     from hickorylead.placement import planner
 
-PERIOD_S = 1.0
+PUBLISH_PERIOD_S = 1.0
 
 
 def build_table(
@@ -90,7 +90,7 @@
         elif added or removed:
             self._sequence += 1
         self.replicas = dict(replicas)
-        self._next = now + PERIOD_S
+        self._next = now + PUBLISH_PERIOD_S
         update = messages.TableUpdate(
             zone=self._zone,
             fence=fence,
@@ -102,7 +102,7 @@
         )
         return [messages.Send(node, update) for node in listeners]
 
-    def make_full(
+    def make_full_update(
         self, members: Mapping[str, registry.Member]
     ) -> messages.TableUpdate:
         """Returns the whole table."""
--- a/src/hickorylead/routing/table.py
+++ b/src/hickorylead/routing/table.py
@@ -19,7 +19,7 @@
 
     fence: int = 0
     sequence: int = -1
-    heard_at: float = -1e9
+    last_update_at: float = -1e9
     complete: bool = False
     replicas: dict[str, messages.Replica] = attrs.field(factory=dict)
 
@@ -30,14 +30,14 @@
 
     Attributes:
         requests: Requests that run or wait there.
-        at: When the report came.
+        reported_at: When the report came.
     """
 
     requests: int
-    at: float
+    reported_at: float
 
 
-class Table:
+class ReplicaTable:
     """Replicas of all zones."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self._removed: dict[str, None] = {}
         self._by_service: dict[str, list[messages.Replica]] | None = None
 
-    def update(self, update: messages.TableUpdate, now: float) -> bool:
+    def apply_update(self, update: messages.TableUpdate, now: float) -> bool:
         """Takes an update; says whether the whole table must be asked for."""
         zone = self.zones.setdefault(update.zone, ZoneTable())
         if update.fence < zone.fence:
@@ -71,10 +71,10 @@
             # gone would be kept for ever. A sign of life that follows a lost
             # change shows it just as the next change does.
             zone.complete = False
-            zone.heard_at = now
+            zone.last_update_at = now
             return True
         zone.fence, zone.sequence = update.fence, update.sequence
-        zone.heard_at = now
+        zone.last_update_at = now
         for group in update.removed:
             zone.replicas.pop(group, None)
             self.loads.pop(group, None)
@@ -103,7 +103,7 @@
             del self._withdrawn[next(iter(self._withdrawn))]
         self._by_service = None
 
-    def forget_zone(self, zone: str) -> None:
+    def remove_zone(self, zone: str) -> None:
         """Drops the replicas of a zone that was not heard for long."""
         if self.zones.pop(zone, None) is not None:
             self._by_service = None
@@ -121,7 +121,7 @@
                     )
         return self._by_service.get(service, [])
 
-    def has_lost(self, group: str) -> bool:
+    def was_removed(self, group: str) -> bool:
         """Says whether a replica has left the table of a zone that is heard."""
         return group in self._removed
 
--- a/src/hickorylead/runtime/operators.py
+++ b/src/hickorylead/runtime/admin_api.py
@@ -11,8 +11,8 @@
 
 from hickorylead import verdict as verdict_module
 from hickorylead.requests import model
-from hickorylead.roles import seam
-from hickorylead.runtime import callers, documents, headers, problems
+from hickorylead.roles import interface
+from hickorylead.runtime import entry_api, headers, json_codec, problems
 
 if TYPE_CHECKING:
     from starlette import requests
@@ -27,7 +27,7 @@
 }
 
 
-def make_routes(shell: entry.EntryShell) -> list[routing.Route]:
+def make_routes(shell: entry.EntryProcess) -> list[routing.Route]:
     """Returns the routes for operators of an entry."""
     views = _Views(shell)
     return [
@@ -48,25 +48,25 @@
 class _Views:
     """The handlers, bound to one entry."""
 
-    def __init__(self, shell: entry.EntryShell) -> None:
+    def __init__(self, shell: entry.EntryProcess) -> None:
         self._shell = shell
 
     async def change(self, request: requests.Request) -> responses.Response:
         """Handles POST /admin/changes."""
         if not self._is_operator(request):
             return _refuse_token()
-        match await callers.read_body(request, MAX_CHANGE_BYTES):
+        match await entry_api.read_body(request, MAX_CHANGE_BYTES):
             case result.Failure(response):
                 return response
             case result.Success(body):
                 pass
-        match documents.read_change(body):
+        match json_codec.read_change(body):
             case result.Failure(problem):
                 return problems.refuse_input(400, "bad_change", problem)
             case result.Success(change):
                 pass
         waiting = self._shell.changes.wait(change.change_id)
-        self._shell.apply(seam.ChangeSubmitted(change))
+        self._shell.apply(interface.ChangeSubmitted(change))
         answer = await waiting
         if answer.outcome is None:
             return _describe_lost(answer)
@@ -80,7 +80,7 @@
         status = 200
         if not outcome.accepted:
             status = _STATUS_BY_REASON.get(outcome.reason, 422)
-        return _answer_json(documents.dump(outcome), status)
+        return _answer_json(json_codec.dump(outcome), status)
 
     async def tell_configuration(
         self, request: requests.Request
@@ -88,7 +88,7 @@
         """Handles GET /admin/configuration."""
         if not self._is_operator(request):
             return _refuse_token()
-        return _answer_json(documents.dump(self._shell.role.configuration))
+        return _answer_json(json_codec.dump(self._shell.role.configuration))
 
     async def tell_status(
         self, request: requests.Request
@@ -98,7 +98,7 @@
             return _refuse_token()
         token = uuid.uuid4().hex
         waiting = self._shell.statuses.wait(token)
-        self._shell.apply(seam.StatusAsked(token))
+        self._shell.apply(interface.StatusRequested(token))
         answer = await waiting
         role = self._shell.role
         return _answer_json(
@@ -107,7 +107,7 @@
                 "ready": role.is_ready(),
                 "version": role.configuration.version,
                 "preset": role.configuration.preset,
-                "controls": documents.dump(answer.controls),
+                "controls": json_codec.dump(answer.statuses),
             }
         )
 
@@ -118,7 +118,7 @@
         token = uuid.uuid4().hex
         waiting = self._shell.explains.wait(token)
         request_id = request.path_params["request_id"]
-        self._shell.apply(seam.ExplainAsked(token, request_id))
+        self._shell.apply(interface.ExplainRequested(token, request_id))
         reply = (await waiting).reply
         if not reply.found:
             return problems.refuse_input(
@@ -126,17 +126,19 @@
                 "unknown_request",
                 f"no entry that answers keeps request {request_id!r}",
             )
-        return _answer_json(documents.dump(reply))
+        return _answer_json(json_codec.dump(reply))
 
     async def found(self, request: requests.Request) -> responses.Response:
         """Handles POST /admin/cluster/{cluster}."""
         if not self._is_operator(request):
             return _refuse_token()
         cluster = request.path_params["cluster"]
-        waiting = self._shell.foundings.wait(cluster)
-        self._shell.apply(seam.FoundingAsked(cluster))
+        waiting = self._shell.bootstraps.wait(cluster)
+        self._shell.apply(interface.BootstrapRequested(cluster))
         answer = await waiting
-        return _answer_json(documents.dump(answer), 200 if answer.done else 409)
+        return _answer_json(
+            json_codec.dump(answer), 200 if answer.done else 409
+        )
 
     def _is_operator(self, request: requests.Request) -> bool:
         authorization = request.headers.get("authorization", "")
@@ -150,7 +152,7 @@
     )
 
 
-def _describe_lost(answer: seam.AnswerChange) -> responses.Response:
+def _describe_lost(answer: interface.AnswerChange) -> responses.Response:
     if answer.may_apply:
         return problems.make_response(
             model.Problem(
--- a/src/hickorylead/runtime/backends.py
+++ b/src/hickorylead/runtime/backends.py
@@ -65,7 +65,7 @@
         await self._pooled.close()
         await self._fresh.close()
 
-    def open(self, attempt: events.OpenAttempt) -> None:
+    def open(self, attempt: events.StartAttempt) -> None:
         """Starts an attempt."""
         task = asyncio.create_task(self._run(attempt))
         self._tasks[attempt.attempt_id] = task
@@ -78,7 +78,7 @@
         task = self._tasks.get(effect.attempt_id)
         if task is not None:
             task.cancel()
-        if effect.stop and effect.replica.keepalive_s:
+        if effect.cancel_on_server and effect.replica.keepalive_s:
             stop = asyncio.create_task(self._stop(effect))
             self._cancels.add(stop)
             stop.add_done_callback(self._cancels.discard)
@@ -95,10 +95,10 @@
             # The server is gone, or it notices the closed connection.
             pass
 
-    async def _run(self, attempt: events.OpenAttempt) -> None:
+    async def _run(self, attempt: events.StartAttempt) -> None:
         span = self._tracer.start("attempt", attempt.request.traceparent)
-        span.set_field("hickorylead.attempt", attempt.attempt_id)
-        span.set_field("hickorylead.replica", attempt.replica.group)
+        span.set_attribute("hickorylead.attempt", attempt.attempt_id)
+        span.set_attribute("hickorylead.replica", attempt.replica.group)
         try:
             if attempt.replica.keepalive_s:
                 event = await self._run_stream(attempt, span.traceparent)
@@ -119,12 +119,12 @@
             self._deliver(event)
 
     async def _run_stream(
-        self, attempt: events.OpenAttempt, traceparent: str
+        self, attempt: events.StartAttempt, traceparent: str
     ) -> events.Event | None:
         request = attempt.request
         path = "attach" if attempt.attach else "run"
         session = self._fresh if attempt.attach else self._pooled
-        if request.key:
+        if request.idempotency_key:
             session = self._fresh
         body = {
             "request_id": request.request_id,
@@ -153,15 +153,15 @@
         return _fail(attempt, Verdict.MAY_HAVE_RUN, "stream_ended")
 
     async def _run_call(
-        self, attempt: events.OpenAttempt, traceparent: str
+        self, attempt: events.StartAttempt, traceparent: str
     ) -> events.Event:
         request = attempt.request
         headers = _make_headers(traceparent)
         headers["Content-Type"] = request.content_type
         headers["Request-Id"] = request.request_id
-        if request.key:
-            headers["Idempotency-Key"] = request.key
-        session = self._fresh if request.key else self._pooled
+        if request.idempotency_key:
+            headers["Idempotency-Key"] = request.idempotency_key
+        session = self._fresh if request.idempotency_key else self._pooled
         async with session.request(
             request.method,
             f"http://{attempt.replica.address}/{request.path}",
@@ -210,7 +210,7 @@
 
 
 async def _read_refusal(
-    attempt: events.OpenAttempt, response: aiohttp.ClientResponse
+    attempt: events.StartAttempt, response: aiohttp.ClientResponse
 ) -> events.AttemptFailed:
     """Returns the verdict on an attempt that the server refused.
 
@@ -241,7 +241,7 @@
 
 
 def _fail(
-    attempt: events.OpenAttempt,
+    attempt: events.StartAttempt,
     verdict: verdict_module.Verdict,
     reason: str,
 ) -> events.AttemptFailed:
--- a/src/hickorylead/runtime/calls.py
+++ b/src/hickorylead/runtime/calls.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from hickorylead import verdict as verdict_module
-    from hickorylead.fleet import dialect as dialect_module
+    from hickorylead.fleet import server_codec as server_codec_module
     from hickorylead.runtime import upstream
 
 # Answers to orders and questions have some hundred bytes.
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """A whole answer.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class NoAnswer:
+class NoResponse:
     """There is no whole answer; the call may have had its effect."""
 
     reason: str
@@ -42,32 +42,30 @@
     """Collects one answer."""
 
     def __init__(self) -> None:
-        self.done: asyncio.Future[Answer | NoAnswer] = asyncio.Future()
+        self.done: asyncio.Future[Response | NoResponse] = asyncio.Future()
         self._status = 0
         self._headers: tuple[tuple[bytes, bytes], ...] = ()
         self._body = bytearray()
 
-    def take_head(
+    def on_headers(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         self._status = status
         self._headers = tuple(headers)
 
-    def take_piece(self, data: bytes) -> None:
+    def on_body_chunk(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_ANSWER_BYTES:
-            self._end(NoAnswer("answer_too_long"))
+            self._end(NoResponse("answer_too_long"))
 
-    def take_end(self) -> None:
-        self._end(Answer(self._status, bytes(self._body), self._headers))
+    def on_complete(self) -> None:
+        self._end(Response(self._status, bytes(self._body), self._headers))
 
-    def take_failure(
-        self, verdict: verdict_module.Verdict, reason: str
-    ) -> None:
+    def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
         del verdict
-        self._end(NoAnswer(reason))
+        self._end(NoResponse(reason))
 
-    def _end(self, answer: Answer | NoAnswer) -> None:
+    def _end(self, answer: Response | NoResponse) -> None:
         if not self.done.done():
             self.done.set_result(answer)
 
@@ -75,9 +73,9 @@
 async def make_call(
     pool: upstream.Pool,
     address: str,
-    call: dialect_module.Call,
+    call: server_codec_module.HttpCall,
     timeout_s: float,
-) -> Answer | NoAnswer:
+) -> Response | NoResponse:
     """Makes a call and returns its answer, or why there is none.
 
     Args:
@@ -92,12 +90,12 @@
         f"content-type: application/json\r\ncontent-length: {len(body)}\r\n\r\n"
     )
     collector = _Collector()
-    exchange = pool.start(address, head.encode() + body, collector)
+    exchange = pool.send_request(address, head.encode() + body, collector)
     try:
         async with asyncio.timeout(timeout_s):
             answer = await collector.done
     except TimeoutError:
-        answer = NoAnswer("timeout")
-    if isinstance(answer, NoAnswer):
+        answer = NoResponse("timeout")
+    if isinstance(answer, NoResponse):
         exchange.cancel()
     return answer
--- a/src/hickorylead/runtime/control.py
+++ b/src/hickorylead/runtime/control.py
@@ -14,7 +14,7 @@
 from hickorylead import errors
 from hickorylead.consensus import messages as consensus_messages
 from hickorylead.placement import orders, planner
-from hickorylead.roles import control as control_role, nodes, seam
+from hickorylead.roles import control as control_role, interface, nodes
 from hickorylead.runtime import (
     clock,
     peers as peers_module,
@@ -33,7 +33,7 @@
 ORDER_TIMEOUT_S = 1.5
 
 
-class ControlShell:
+class ControlProcess:
     """Runs one control process."""
 
     def __init__(self, settings: Mapping[str, Any]) -> None:
@@ -47,7 +47,7 @@
             errors.SettingsError: The list of controls does not name this one.
         """
         self.settings = settings
-        self.node = nodes.name_node(
+        self.node = nodes.make_node_name(
             settings["zone"], settings["vm"], nodes.CONTROL
         )
         controls = settings["controls"]
@@ -60,7 +60,7 @@
         self.role = control_role.Control(
             control_role.Identity(
                 node=self.node,
-                controls=tuple(sorted(controls)),
+                control_nodes=tuple(sorted(controls)),
                 incarnation=self._folder.incarnation if self._folder else "",
             ),
             policy=planner.Policy(
@@ -122,16 +122,16 @@
                 f" {self._disk_error}"
             )
 
-    def apply(self, event: seam.ControlEvent) -> None:
+    def apply(self, event: interface.ControlEvent) -> None:
         """Gives an event to the reducer and carries out its effects."""
         if self._disk_error is not None:
             return
         try:
             for effect in self.role.reduce(event, clock.read_monotonic()):
                 self._carry_out(effect)
-            if self._folder is not None and self._folder.is_long():
+            if self._folder is not None and self._folder.needs_compaction():
                 assert self.role.voter is not None
-                self._folder.rewrite(self.role.voter.export())
+                self._folder.rewrite(self.role.voter.export_records())
         except OSError as error:
             # What the reducer believes to be on disk is not. If it went on it
             # could acknowledge a change that a restart takes back, so not one
@@ -140,25 +140,25 @@
             self._stop.set()
             self.log.error("disk failed", detail=str(error))
 
-    def _carry_out(self, effect: seam.ControlEffect) -> None:
+    def _carry_out(self, effect: interface.ControlEffect) -> None:
         match effect:
-            case seam.Send(node, message):
+            case interface.Send(node, message):
                 self._peers.send(node, message)
             case consensus_messages.Persist(record):
                 assert self._folder is not None
                 # The loop waits for the disk: an answer may only leave after
                 # the sync, and changes are few.
                 self._folder.persist(record)
-            case orders.Give(order):
+            case orders.SendOrder(order):
                 self._give(order)
 
-    def _receive(self, sender: str, message: seam.Message) -> None:
-        self.apply(seam.MessageArrived(sender, message, clock.read_wall()))
+    def _receive(self, sender: str, message: interface.Message) -> None:
+        self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
 
     async def _tick(self) -> None:
         while True:
-            self.apply(seam.Tick(clock.read_wall()))
-            await asyncio.sleep(seam.TICK_S)
+            self.apply(interface.Tick(clock.read_wall()))
+            await asyncio.sleep(interface.TICK_S)
 
     def _give(self, order: orders.Order) -> None:
         # The process may have been paused since the reducer decided; then
@@ -199,7 +199,7 @@
         async def tell_metrics(
             request: requests.Request,
         ) -> responses.Response:
-            metrics.set_status(self.role.describe(clock.read_monotonic()))
+            metrics.set_status(self.role.get_status(clock.read_monotonic()))
             accept = request.headers.get("accept", "text/plain")
             body, found = metrics.render([accept])
             return responses.Response(body, headers=found)
@@ -221,6 +221,6 @@
 
 
 def _dump_order(order: orders.Order) -> dict[str, Any]:
-    from hickorylead.runtime import documents
+    from hickorylead.runtime import json_codec
 
-    return documents.dump(order)
+    return json_codec.dump(order)
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -18,15 +18,15 @@
 )
 from hickorylead.crashes import messages as crash_messages
 from hickorylead.fleet import (
-    dialect as dialect_module,
     events,
-    former as former_module,
+    group_builder as group_builder_module,
     identity,
     instances,
     messages as fleet_messages,
     orders,
+    server_codec as server_codec_module,
 )
-from hickorylead.roles import coordinator as coordinator_role, nodes, seam
+from hickorylead.roles import coordinator as coordinator_role, interface, nodes
 from hickorylead.runtime import (
     calls,
     clock,
@@ -36,7 +36,7 @@
     ticker,
     upstream,
 )
-from hickorylead.storage import folder as folder_module, memo
+from hickorylead.storage import folder as folder_module, saved_value
 from hickorylead.telemetry import decisions
 from hickorylead.wire import codec
 
@@ -56,13 +56,13 @@
 DISK_RETRY_S = 0.5
 # A lost leader is noticed by its voters within about a second. The longest
 # pause of a loop that syncs to a disk 25 times slower than usual is 50 ms.
-TUNING = voter_module.Tuning(
+TUNING = voter_module.VoterOptions(
     heartbeat_s=0.15,
     election_min_s=0.7,
     election_max_s=1.4,
-    first_election_s=0.4,
+    first_election_max_s=0.4,
     replace_after_s=6.0,
-    forgotten_s=2.0,
+    rejoin_after_s=2.0,
 )
 
 
@@ -79,10 +79,10 @@
         peer_port: Port for the other processes of the system.
         seeds: Peer addresses of a few coordinators.
         metrics_port: Port for scrapes; 0 for none.
-        may_found: Whether the whole system starts for the first time.
+        may_bootstrap: Whether the whole system starts for the first time.
         data_folder: Folder on a disk.
         heartbeat_s: Pause between heartbeats of backend servers, in seconds.
-        lost_disks: Disks that may be lost at the same time.
+        max_lost_disks: Disks that may be lost at the same time.
         bind_ip: IP number that it binds; empty if it is `ip`.
     """
 
@@ -94,30 +94,30 @@
     peer_port: int
     seeds: tuple[str, ...]
     metrics_port: int
-    may_found: bool
+    may_bootstrap: bool
     data_folder: str
     heartbeat_s: float
-    lost_disks: int
+    max_lost_disks: int
     bind_ip: str = ""
 
     @property
-    def own_ip(self) -> str:
+    def listen_ip(self) -> str:
         """The IP number on which it listens."""
         return self.bind_ip or self.ip
 
 
-class CoordinatorShell:
+class CoordinatorProcess:
     """One coordinator process."""
 
     def __init__(
         self,
         settings: Settings,
         *,
-        dialect: dialect_module.ServerDialect,
+        dialect: server_codec_module.ServerCodec,
         read_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
-        make_app: Callable[[CoordinatorShell], Any],
+        make_app: Callable[[CoordinatorProcess], Any],
         reload: Callable[[], Settings],
         log: decisions.DecisionLog,
     ) -> None:
@@ -132,7 +132,7 @@
             log: Where decisions are written.
         """
         self.settings = settings
-        self._node = nodes.name_node(
+        self._node = nodes.make_node_name(
             settings.zone, settings.vm, nodes.COORDINATOR
         )
         self._log = log
@@ -148,7 +148,7 @@
         self._count = 0
         self._pool = upstream.Pool(settings.bind_ip)
         self._tuning = attrs.evolve(
-            TUNING, min_voters=2 * settings.lost_disks + 1
+            TUNING, min_voters=2 * settings.max_lost_disks + 1
         )
         address = f"{settings.ip}:{settings.peer_port}"
         self.role = coordinator_role.Coordinator(
@@ -157,20 +157,20 @@
                 address=address,
                 incarnation=self._folder.incarnation,
                 seeds=settings.seeds,
-                may_found=settings.may_found,
+                may_bootstrap=settings.may_bootstrap,
                 heartbeat_s=settings.heartbeat_s,
                 zones=settings.zones,
             ),
             read_document=read_document,
-            policy=former_module.Policy(),
+            policy=group_builder_module.StandbyPolicy(),
             records=self._folder.records,
             rng=self._rng,
             now=clock.read_boottime(),
             tuning=self._tuning,
         )
         data_folder = pathlib.Path(settings.data_folder)
-        self._servers_memo = memo.Memo(data_folder, "servers")
-        self._crashes_memo = memo.Memo(data_folder, "crashes")
+        self._servers_memo = saved_value.SavedValue(data_folder, "servers")
+        self._crashes_memo = saved_value.SavedValue(data_folder, "crashes")
         self._recall()
         self._peers = peers_module.Peers(
             node=self._node,
@@ -189,14 +189,14 @@
         loop.add_signal_handler(signal.SIGHUP, self._take_new_settings)
         http = server_module.HttpServer(
             self._make_app(self),
-            self.settings.own_ip,
+            self.settings.listen_ip,
             self.settings.control_port,
         )
         await self._peers.start()
         await http.start()
         scraped = await scrape.serve(
             self._log,
-            self.settings.own_ip,
+            self.settings.listen_ip,
             self.settings.metrics_port,
             self._gauge,
         )
@@ -219,24 +219,24 @@
 
     # For the interface of backend servers and operators.
 
-    def hear(self, instance: instances.Instance) -> None:
+    def receive_heartbeat(self, instance: instances.Instance) -> None:
         """Takes a heartbeat of a backend server."""
         self.apply(events.HeartbeatArrived(instance))
 
-    def end(self, name: str, born: int) -> None:
+    def deregister(self, name: str, born: int) -> None:
         """Takes that a backend server leaves for good."""
         self.apply(events.InstanceLeft(name, born))
 
-    async def replace(self, version: int, content: bytes) -> bool:
+    async def replace_configuration(self, version: int, content: bytes) -> bool:
         """Takes a whole configuration; says whether it lasts for sure."""
         token, future = self._make_call()
-        self.apply(events.ReplaceAsked(token, version, content))
+        self.apply(events.ReplaceRequested(token, version, content))
         return bool(await future)
 
-    async def read(self) -> tuple[int, bytes] | None:
+    async def read_configuration(self) -> tuple[int, bytes] | None:
         """Returns the newest configuration; None if that is not known."""
         token, future = self._make_call()
-        self.apply(events.ReadAsked(token))
+        self.apply(events.ReadRequested(token))
         return await future
 
     def _make_call(self) -> tuple[str, asyncio.Future[Any]]:
@@ -258,7 +258,7 @@
         free = [i for i in present if i.domain and not i.has_group]
         return {
             "configuration_version": self.role.version,
-            "log_leader": float(self.role.voter.leads(now)),
+            "log_leader": float(self.role.voter.is_ready_leader(now)),
             "voters": len(self.role.voter.voters),
             "instances": len(present),
             "instances_silent": sum(i.silent for i in present),
@@ -276,8 +276,8 @@
         try:
             for effect in effects:
                 self._carry_out(effect)
-            if self._folder.is_long():
-                self._folder.rewrite(self.role.voter.export())
+            if self._folder.needs_compaction():
+                self._folder.rewrite(self.role.voter.export_records())
         except OSError as error:
             self._lose_disk(error, now)
 
@@ -285,7 +285,7 @@
         match effect:
             case notes.Note():
                 self._log.write(effect)
-            case seam.Send(node, message):
+            case interface.Send(node, message):
                 if self._disk_failed_at is not None and isinstance(
                     message, consensus_messages.Message
                 ):
@@ -306,22 +306,22 @@
                     self._end_call(token, None)
                 else:
                     self._end_call(token, (version, content))
-            case orders.Give():
+            case orders.SendOrder():
                 self._start(self._post(effect))
-            case orders.AskReport():
+            case orders.RequestReport():
                 self._start(self._ask(effect))
 
-    def _receive(self, sender: str, message: seam.Message) -> None:
+    def _receive(self, sender: str, message: interface.Message) -> None:
         if self._disk_failed_at is not None and isinstance(
             message, consensus_messages.Message
         ):
             return
-        self.apply(seam.MessageArrived(sender, message, clock.read_wall()))
+        self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
 
     def _tick(self) -> None:
         if self._disk_failed_at is not None:
             self._try_disk()
-        self.apply(seam.Tick(clock.read_wall()))
+        self.apply(interface.Tick(clock.read_wall()))
 
     # The disk.
 
@@ -329,12 +329,12 @@
         now = clock.read_boottime()
         servers = self._read(self._servers_memo)
         if isinstance(servers, fleet_messages.InstanceNews):
-            self.role.registry.recall(servers.news, now)
+            self.role.registry.restore(servers.news, now)
         crashes = self._read(self._crashes_memo)
         if isinstance(crashes, crash_messages.CrashNews):
-            self.role.crashes.recall(crashes, now)
+            self.role.crashes.restore(crashes, now)
 
-    def _read(self, source: memo.Memo) -> seam.Message | None:
+    def _read(self, source: saved_value.SavedValue) -> interface.Message | None:
         if source.value is None:
             return None
         match codec.decode_envelope(source.value):
@@ -344,7 +344,9 @@
                 self._log.write(notes.note("memo_unreadable", why=problem))
         return None
 
-    def _remember(self, target: memo.Memo, message: seam.Message) -> None:
+    def _remember(
+        self, target: saved_value.SavedValue, message: interface.Message
+    ) -> None:
         value = codec.encode_envelope(codec.Envelope(self._node, "", message))
         try:
             target.save(value)
@@ -401,16 +403,16 @@
         self,
         name: str,
         address: str,
-        call: dialect_module.Call,
+        call: server_codec_module.HttpCall,
         timeout_s: float,
-    ) -> tuple[calls.Answer | calls.NoAnswer, bool]:
+    ) -> tuple[calls.Response | calls.NoResponse, bool]:
         """Calls a server; returns the answer, and if the call was refused."""
         born = self.role.registry.find_born(name)
         answer = await calls.make_call(self._pool, address, call, timeout_s)
-        if isinstance(answer, calls.NoAnswer):
+        if isinstance(answer, calls.NoResponse):
             return answer, False
-        said = self._dialect.read_notice(answer.status, answer.headers)
-        if said != dialect_module.Notice():
+        said = self._dialect.decode_notice(answer.status, answer.headers)
+        if said != server_codec_module.Notice():
             self.apply(
                 orders.NoticeArrived(
                     name, born, said.retry_after_s, said.is_leaving
@@ -418,46 +420,46 @@
             )
         return answer, said.retry_after_s is not None
 
-    async def _post(self, give: orders.Give) -> None:
+    async def _post(self, give: orders.SendOrder) -> None:
         answer, _ = await self._call(
             give.name,
             give.address,
-            self._dialect.write_order(give),
+            self._dialect.encode_order(give),
             ORDER_TIMEOUT_S,
         )
         status = 0
         match answer:
-            case calls.Answer(status):
+            case calls.Response(status):
                 pass
-            case calls.NoAnswer(reason):
+            case calls.NoResponse(reason):
                 self._log.write(
                     notes.note("order_unanswered", server=give.name, why=reason)
                 )
         self.apply(orders.OrderAnswered(give.name, give.order, status))
 
-    async def _ask(self, question: orders.AskReport) -> None:
+    async def _ask(self, question: orders.RequestReport) -> None:
         answer, is_turned_away = await self._call(
             question.name,
             question.address,
-            self._dialect.write_report_question(),
+            self._dialect.encode_report_request(),
             REPORT_TIMEOUT_S,
         )
         report = None
         match answer:
-            case calls.Answer(200, body):
-                report = self._dialect.read_report(body)
+            case calls.Response(200, body):
+                report = self._dialect.decode_report(body)
                 if report is None:
                     self._log.write(
                         notes.note("report_unreadable", server=question.name)
                     )
-            case calls.Answer(status):
+            case calls.Response(status):
                 # Another server has the address by now, or wants no calls.
                 self._log.write(
                     notes.note(
                         "report_refused", server=question.name, status=status
                     )
                 )
-            case calls.NoAnswer(reason):
+            case calls.NoResponse(reason):
                 self._log.write(
                     notes.note(
                         "report_unanswered", server=question.name, why=reason
--- a/src/hickorylead/runtime/entry.py
+++ b/src/hickorylead/runtime/entry.py
@@ -8,15 +8,15 @@
 
 from hickorylead import notes, verdict as verdict_module
 from hickorylead.requests import events
-from hickorylead.roles import entry as entry_role, nodes, seam
+from hickorylead.roles import entry as entry_role, interface, nodes
 from hickorylead.runtime import (
-    answering as answering_module,
+    admin_api,
     backends as backends_module,
-    callers,
     clock,
-    operators,
+    entry_api,
     peers as peers_module,
     process,
+    response_queue as response_queue_module,
     server as server_module,
     waiters,
 )
@@ -28,7 +28,7 @@
 Verdict = verdict_module.Verdict
 
 
-class EntryShell:
+class EntryProcess:
     """Runs one entry."""
 
     def __init__(self, settings: Mapping[str, Any]) -> None:
@@ -38,7 +38,7 @@
             settings: Checked values of `settings.roles.ENTRY_OPTIONS`.
         """
         self.settings = settings
-        self.node = nodes.name_node(
+        self.node = nodes.make_node_name(
             settings["zone"], settings["vm"], nodes.ENTRY
         )
         controls = settings["controls"]
@@ -52,11 +52,19 @@
             settings["trace_endpoint"],
             {"zone": settings["zone"], "vm": settings["vm"]},
         )
-        self.changes: waiters.Waiters[seam.AnswerChange] = waiters.Waiters()
-        self.statuses: waiters.Waiters[seam.AnswerStatus] = waiters.Waiters()
-        self.explains: waiters.Waiters[seam.AnswerExplain] = waiters.Waiters()
-        self.foundings: waiters.Waiters[seam.AnswerFounding] = waiters.Waiters()
-        self._answering: dict[str, answering_module.Answering] = {}
+        self.changes: waiters.Waiters[interface.AnswerChange] = (
+            waiters.Waiters()
+        )
+        self.statuses: waiters.Waiters[interface.AnswerStatus] = (
+            waiters.Waiters()
+        )
+        self.explains: waiters.Waiters[interface.AnswerExplain] = (
+            waiters.Waiters()
+        )
+        self.bootstraps: waiters.Waiters[interface.AnswerBootstrap] = (
+            waiters.Waiters()
+        )
+        self._answering: dict[str, response_queue_module.ResponseQueue] = {}
         self._boot = int(clock.read_wall() * 1000)
         self._count = 0
         self._stopped = asyncio.Event()
@@ -74,7 +82,7 @@
             deliver=self.apply, tracer=self.tracer
         )
         http = server_module.HttpServer(
-            callers.make_app(self, operators.make_routes(self)),
+            entry_api.make_app(self, admin_api.make_routes(self)),
             self.settings["address"],
             self.settings["caller_port"],
         )
@@ -95,7 +103,7 @@
         await process.wait_for_stop(stop)
         self.log.info("stopping", open=self.role.dispatcher.count_open())
         http.stop_listening()
-        self.apply(seam.StopAsked())
+        self.apply(interface.StopRequested())
         if not ticking.done():
             await self._drain()
         await http.close()
@@ -118,46 +126,46 @@
                 open=self.role.dispatcher.count_open(),
             )
 
-    def name_request(self) -> str:
+    def make_request_id(self) -> str:
         """Returns an id for a new request."""
         self._count += 1
-        return nodes.name_request(self.node, self._boot, self._count)
+        return nodes.make_request_id(self.node, self._boot, self._count)
 
-    def open_answer(
+    def open_response(
         self, request_id: str, service: str
-    ) -> answering_module.Answering:
+    ) -> response_queue_module.ResponseQueue:
         """Makes the place where a request's effects arrive."""
-        answering = self._answering[request_id] = answering_module.Answering(
-            service
+        answering = self._answering[request_id] = (
+            response_queue_module.ResponseQueue(service)
         )
         return answering
 
-    def close_answer(self, request_id: str) -> None:
+    def close_response(self, request_id: str) -> None:
         """Forgets a request; if it had no final answer, its caller left."""
         if self._answering.pop(request_id, None) is not None:
-            self.apply(events.CallerLeft(request_id))
+            self.apply(events.CallerDisconnected(request_id))
 
-    def apply(self, event: seam.EntryEvent) -> None:
+    def apply(self, event: interface.EntryEvent) -> None:
         """Gives an event to the reducer and carries out its effects."""
         for effect in self.role.reduce(event, clock.read_monotonic()):
             self._carry_out(effect)
 
-    def _receive(self, sender: str, message: seam.Message) -> None:
-        self.apply(seam.MessageArrived(sender, message, clock.read_wall()))
+    def _receive(self, sender: str, message: interface.Message) -> None:
+        self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
 
     async def _tick(self) -> None:
         while True:
-            self.apply(seam.Tick(clock.read_wall()))
-            await asyncio.sleep(seam.TICK_S)
+            self.apply(interface.Tick(clock.read_wall()))
+            await asyncio.sleep(interface.TICK_S)
 
-    def _carry_out(self, effect: seam.EntryEffect) -> None:
+    def _carry_out(self, effect: interface.EntryEffect) -> None:
         match effect:
             case events.EmitText(request_id):
                 self._give(request_id, effect)
-            case seam.Send(node, message):
+            case interface.Send(node, message):
                 self._peers.send(node, message)
-            case events.OpenAttempt():
-                if effect.number > 1:
+            case events.StartAttempt():
+                if effect.attempt_number > 1:
                     self.metrics.count_retry(effect.request.service)
                 self._backends.open(effect)
             case events.CancelAttempt():
@@ -165,7 +173,7 @@
             case events.FinishStream(request_id, _, usage):
                 tokens = usage.completion_tokens
                 self._end(request_id, Verdict.RAN, effect, tokens=tokens)
-            case events.GiveAnswer(request_id):
+            case events.SendResponse(request_id):
                 self._end(request_id, Verdict.RAN, effect)
             case events.Refuse(request_id, problem):
                 answering = self._answering.get(request_id)
@@ -176,15 +184,15 @@
                 )
             case notes.Note(event):
                 self.log.info(event, **effect.fields)
-            case seam.AnswerChange(change_id):
+            case interface.AnswerChange(change_id):
                 self.changes.answer(change_id, effect)
-            case seam.AnswerStatus(token):
+            case interface.AnswerStatus(token):
                 self.statuses.answer(token, effect)
-            case seam.AnswerExplain(token):
+            case interface.AnswerExplain(token):
                 self.explains.answer(token, effect)
-            case seam.AnswerFounding(cluster):
-                self.foundings.answer(cluster, effect)
-            case seam.Stopped():
+            case interface.AnswerBootstrap(cluster):
+                self.bootstraps.answer(cluster, effect)
+            case interface.Stopped():
                 self._stopped.set()
 
     def _give(self, request_id: str, effect: events.Effect) -> None:
@@ -203,7 +211,7 @@
     ) -> None:
         answering = self._answering.pop(request_id, None)
         service = answering.service if answering else ""
-        self.metrics.count_end(service, verdict)
+        self.metrics.count_request(service, verdict)
         if tokens:
             self.metrics.count_tokens(service, tokens)
         self.log.info(
--- a/src/hickorylead/runtime/callers.py
+++ b/src/hickorylead/runtime/entry_api.py
@@ -13,21 +13,24 @@
 from hickorylead import verdict as verdict_module
 from hickorylead.configuration import model as configuration_model
 from hickorylead.requests import events, model
-from hickorylead.roles import seam
-from hickorylead.runtime import chat, clock, documents, headers, problems
+from hickorylead.roles import interface
+from hickorylead.runtime import chat, clock, headers, json_codec, problems
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Sequence
 
     from starlette import requests
 
-    from hickorylead.runtime import answering as answering_module, entry
+    from hickorylead.runtime import (
+        entry,
+        response_queue as response_queue_module,
+    )
 
 _PLAIN_METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE"]
 
 
 def make_app(
-    shell: entry.EntryShell, more: Sequence[routing.Route]
+    shell: entry.EntryProcess, more: Sequence[routing.Route]
 ) -> applications.Starlette:
     """Returns the application of an entry.
 
@@ -80,7 +83,7 @@
 class _Views:
     """The handlers, bound to one entry."""
 
-    def __init__(self, shell: entry.EntryShell) -> None:
+    def __init__(self, shell: entry.EntryProcess) -> None:
         self._shell = shell
         self._settings = shell.settings
 
@@ -107,7 +110,7 @@
             streamed=asked.streamed,
             prompt_tokens=asked.prompt_tokens,
             max_tokens=asked.max_tokens,
-            prefixes=asked.prefixes,
+            prefix_hashes=asked.prefixes,
         )
         if asked.streamed:
             return await self._stream(submitted, asked.with_usage)
@@ -175,14 +178,14 @@
         given = key.unwrap()
         return result.Success(
             model.Request(
-                request_id=self._shell.name_request(),
+                request_id=self._shell.make_request_id(),
                 workspace=workspace,
                 service="",
                 urgency=headers.read_urgency(found.get("priority", "")),
                 deadline_s=deadline.unwrap(),
                 body=body,
-                key=given.text if given else "",
-                key_made_at=given.made_at if given else 0.0,
+                idempotency_key=given.text if given else "",
+                key_created_at=given.made_at if given else 0.0,
                 traceparent=headers.read_traceparent(
                     found.get("traceparent", "")
                 ),
@@ -197,24 +200,26 @@
         service = self._shell.role.configuration.find_service(name)
         return service is not None and service.kind == kind
 
-    def _submit(self, submitted: model.Request) -> answering_module.Answering:
-        answering = self._shell.open_answer(
+    def _submit(
+        self, submitted: model.Request
+    ) -> response_queue_module.ResponseQueue:
+        answering = self._shell.open_response(
             submitted.request_id, submitted.service
         )
-        self._shell.apply(events.Arrive(submitted, clock.read_wall()))
+        self._shell.apply(events.RequestArrived(submitted, clock.read_wall()))
         return answering
 
     async def _stream(
         self, submitted: model.Request, with_usage: bool
     ) -> responses.Response:
         span = self._shell.tracer.start("entry", submitted.traceparent)
-        span.set_field("hickorylead.request", submitted.request_id)
+        span.set_attribute("hickorylead.request", submitted.request_id)
         submitted = attrs.evolve(submitted, traceparent=span.traceparent)
         answering = self._submit(submitted)
         try:
             first = await answering.effects.get()
         except asyncio.CancelledError:
-            self._shell.close_answer(submitted.request_id)
+            self._shell.close_response(submitted.request_id)
             span.end()
             raise
         if isinstance(first, events.Refuse):
@@ -243,7 +248,7 @@
                             return
                     effect = await answering.effects.get()
             finally:
-                self._shell.close_answer(submitted.request_id)
+                self._shell.close_response(submitted.request_id)
                 span.end()
 
         return responses.StreamingResponse(
@@ -256,7 +261,7 @@
         self, request: requests.Request, submitted: model.Request
     ) -> responses.Response:
         span = self._shell.tracer.start("entry", submitted.traceparent)
-        span.set_field("hickorylead.request", submitted.request_id)
+        span.set_attribute("hickorylead.request", submitted.request_id)
         submitted = attrs.evolve(submitted, traceparent=span.traceparent)
         answering = self._submit(submitted)
         watch = asyncio.create_task(self._watch_caller(request, submitted))
@@ -264,7 +269,7 @@
             return await self._collect(answering, submitted)
         finally:
             watch.cancel()
-            self._shell.close_answer(submitted.request_id)
+            self._shell.close_response(submitted.request_id)
             span.end()
 
     async def _watch_caller(
@@ -272,10 +277,12 @@
     ) -> None:
         while (await request.receive())["type"] != "http.disconnect":
             pass
-        self._shell.close_answer(submitted.request_id)
+        self._shell.close_response(submitted.request_id)
 
     async def _collect(
-        self, answering: answering_module.Answering, submitted: model.Request
+        self,
+        answering: response_queue_module.ResponseQueue,
+        submitted: model.Request,
     ) -> responses.Response:
         pieces: list[str] = []
         request_id = submitted.request_id
@@ -297,7 +304,7 @@
                         headers={"Request-Id": request_id},
                         media_type="application/json",
                     )
-                case events.GiveAnswer(_, status, content_type, body, replay):
+                case events.SendResponse(_, status, content_type, body, replay):
                     found = {"Request-Id": request_id}
                     if content_type:
                         found["Content-Type"] = content_type
@@ -321,7 +328,7 @@
                 return response
             case result.Success(body):
                 pass
-        match documents.read_announcement(body):
+        match json_codec.read_announcement(body):
             case result.Failure(problem):
                 return problems.refuse_input(400, "bad_announcement", problem)
             case result.Success(announcement):
@@ -332,7 +339,7 @@
                 "wrong_zone",
                 f"this entry serves zone {self._settings['zone']}",
             )
-        self._shell.apply(seam.AnnouncementArrived(announcement))
+        self._shell.apply(interface.AnnouncementArrived(announcement))
         return responses.Response(status_code=204)
 
     async def tell_health(self, _: requests.Request) -> responses.Response:
@@ -350,14 +357,16 @@
     ) -> responses.Response:
         """Handles GET /metrics."""
         role, metrics = self._shell.role, self._shell.metrics
-        metrics.set_open(role.dispatcher.count_open())
+        metrics.set_open_requests(role.dispatcher.count_open())
         metrics.set_version(role.configuration.version)
         for zone, table in role.table.zones.items():
             metrics.set_replicas(zone, len(table.replicas))
         for service, waiting in role.dispatcher.queues.items():
             counts = waiting.count_by_urgency()
             for urgency in range(model.URGENCY_LOWEST + 1):
-                metrics.set_queued(service, urgency, counts.get(urgency, 0))
+                metrics.set_queued_requests(
+                    service, urgency, counts.get(urgency, 0)
+                )
         accept = request.headers.get("accept", "text/plain")
         body, found = metrics.render([accept])
         return responses.Response(body, headers=found)
