--- a/src/hickorylead/runtime/forwarding.py
+++ b/src/hickorylead/runtime/forwarding.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hickorylead.forwarding import dialect as dialect_module
+    from hickorylead.forwarding import header_codec as header_codec_module
     from hickorylead.runtime import gateway as gateway_shell
 
 # A gateway that has started with all others has a configuration 0.6 to 1.2 s
@@ -33,14 +33,14 @@
 STARTING_RETRY_S = 1.0
 
 
-class Attempt:
+class AttemptReceiver:
     """One try at a replica: turns what comes into events."""
 
     def __init__(
         self,
-        opened: events.Open,
+        opened: events.StartAttempt,
         *,
-        dialect: dialect_module.Dialect,
+        dialect: header_codec_module.HeaderCodec,
         deliver: Callable[[events.Event], None],
     ) -> None:
         """Makes a receiver.
@@ -55,27 +55,27 @@
         self._dialect = dialect
         self._deliver = deliver
 
-    def take_head(self, status: int, headers: list[model.Header]) -> None:
+    def on_headers(self, status: int, headers: list[model.Header]) -> None:
         """Takes status and headers."""
-        head = self._dialect.read_head(status, headers)
-        self._deliver(events.Began(self._id, self._number, head))
+        head = self._dialect.decode_response_head(status, headers)
+        self._deliver(events.ResponseHeadArrived(self._id, self._number, head))
 
-    def take_piece(self, data: bytes) -> None:
+    def on_body_chunk(self, data: bytes) -> None:
         """Takes a piece of the body."""
-        self._deliver(events.PieceCame(self._id, self._number, data))
+        self._deliver(events.ChunkArrived(self._id, self._number, data))
 
-    def take_end(self) -> None:
+    def on_complete(self) -> None:
         """Takes the news that the answer is whole."""
-        self._deliver(events.Ended(self._id, self._number))
+        self._deliver(events.ResponseCompleted(self._id, self._number))
 
-    def take_failure(
-        self, verdict: verdict_module.Verdict, reason: str
-    ) -> None:
+    def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
         """Takes the news that there will be no whole answer."""
-        self._deliver(events.Failed(self._id, self._number, verdict, reason))
+        self._deliver(
+            events.AttemptFailed(self._id, self._number, verdict, reason)
+        )
 
 
-class Caller:
+class ResponseWriter:
     """The way to one caller: what it is given, in order.
 
     A piece of a stream is written at once where the connection takes it. By
@@ -104,16 +104,20 @@
         self._is_sending = False
         self.has_failed = False
 
-    def take(self, effect: events.Effect) -> None:
+    def write(self, effect: events.Effect) -> None:
         """Gives the caller an effect, now or after those before it."""
         if self.has_failed:
             return
-        if self._is_free() and isinstance(effect, events.Start | events.Emit):
-            self._write(effect)
+        if self._is_free() and isinstance(
+            effect, events.StartResponse | events.WriteChunk
+        ):
+            self._write_now(effect)
         else:
             self._effects.put_nowait(effect)
 
-    def _write(self, effect: events.Start | events.Emit) -> None:
+    def _write_now(
+        self, effect: events.StartResponse | events.WriteChunk
+    ) -> None:
         """Sends a piece without a wait.
 
         What goes wrong concerns this caller alone: raised here, it would end
@@ -135,22 +139,22 @@
                 "answer_not_sent", effect.request_id, {"why": why}, "error"
             )
         )
-        self._effects.put_nowait(events.Break(effect.request_id))
+        self._effects.put_nowait(events.AbortResponse(effect.request_id))
 
-    async def answer(self) -> events.Refuse | None:
+    async def run(self) -> events.Refuse | None:
         """Sends until the answer is over; returns a refusal to be sent."""
         while True:
             effect = await self._effects.get()
             self._is_sending = True
             match effect:
-                case events.Start() | events.Emit():
+                case events.StartResponse() | events.WriteChunk():
                     await self._send(_write_message(effect))
-                case events.Finish():
+                case events.FinishResponse():
                     await self._send(_make_body(b"", more=False))
                     return None
                 case events.Refuse():
                     return effect
-                case events.Break():
+                case events.AbortResponse():
                     # Returning without the last piece closes the connection,
                     # so that the answer does not look whole.
                     return None
@@ -165,9 +169,11 @@
         )
 
 
-def _write_message(effect: events.Start | events.Emit) -> dict[str, Any]:
+def _write_message(
+    effect: events.StartResponse | events.WriteChunk,
+) -> dict[str, Any]:
     match effect:
-        case events.Start(_, status, headers, length):
+        case events.StartResponse(_, status, headers, length):
             found = [*headers]
             if length is not None:
                 found.append((b"content-length", b"%d" % length))
@@ -176,7 +182,7 @@
                 "status": status,
                 "headers": found,
             }
-        case events.Emit(_, data):
+        case events.WriteChunk(_, data):
             return _make_body(data, more=True)
 
 
@@ -189,8 +195,8 @@
 
     def __init__(
         self,
-        shell: gateway_shell.GatewayShell,
-        dialect: dialect_module.Dialect,
+        shell: gateway_shell.GatewayProcess,
+        dialect: header_codec_module.HeaderCodec,
     ) -> None:
         """Makes the application.
 
@@ -218,7 +224,7 @@
         self, scope: Any, receive: Any
     ) -> model.Request | events.Refuse | None:
         """Returns the request, its refusal, or None if the caller left."""
-        terms = self._dialect.read_terms(scope["headers"])
+        terms = self._dialect.decode_metadata(scope["headers"])
         if isinstance(terms, str):
             return events.Refuse("", 400, "bad_header")
         limit_s = START_WAIT_S
@@ -228,11 +234,13 @@
         routes = await self._shell.wait_for_routes(limit_s)
         waited_s = clock.read_boottime() - began
         if routes is None:
-            retry_s = refusals.spread_return(terms.attempt_id, STARTING_RETRY_S)
+            retry_s = refusals.jitter_retry_after(
+                terms.attempt_id, STARTING_RETRY_S
+            )
             return events.Refuse("", 503, "starting", retry_s)
         path = scope["raw_path"].decode("latin-1")
         host = _find_header(scope, b"host").decode("latin-1")
-        body = await _read_body(receive, routes.document.limits.body_bytes)
+        body = await _read_body(receive, routes.document.limits.max_body_bytes)
         if body is None:
             return None
         if isinstance(body, events.Refuse):
@@ -242,9 +250,9 @@
         match routes.find(host, path, terms.key):
             case routes_module.NoRoute():
                 return events.Refuse("", 404, "no_route")
-            case routes_module.WrongKey():
+            case routes_module.InvalidKey():
                 return events.Refuse("", 401, "unknown_key")
-            case routes_module.Found(route, workspace):
+            case routes_module.RouteMatch(route, workspace):
                 pass
         query = scope["query_string"]
         target = scope["raw_path"] + (b"?" + query if query else b"")
@@ -252,13 +260,15 @@
         name = workspace.name if workspace else ""
         return model.Request(
             request_id=f"{self._shell.name}-{self._count:x}",
-            terms=_strip_prompt(terms, route),
+            metadata=_strip_prompt(terms, route),
             route=route,
             service=self._shell.choose_service(route),
             workspace=name,
             method=scope["method"],
             target=target,
-            headers=self._dialect.list_headers(scope["headers"], name),
+            headers=self._dialect.list_forwarded_headers(
+                scope["headers"], name
+            ),
             body=body,
             urgency=_choose_urgency(route, workspace),
             waited_s=waited_s,
@@ -267,31 +277,31 @@
     async def _forward(
         self, request: model.Request, scope: Any, receive: Any, send: Any
     ) -> None:
-        caller = Caller(scope, send, self._shell.tell)
-        self._shell.callers[request.request_id] = caller
+        caller = ResponseWriter(scope, send, self._shell.write_log)
+        self._shell.response_writers[request.request_id] = caller
         watching = asyncio.ensure_future(self._watch(request, receive))
         try:
-            self._shell.apply(events.Arrived(request))
-            refusal = await caller.answer()
+            self._shell.apply(events.RequestArrived(request))
+            refusal = await caller.run()
             if refusal is not None:
                 await self._send_refusal(
-                    send, refusal, request.terms.attempt_id
+                    send, refusal, request.metadata.attempt_id
                 )
         finally:
             watching.cancel()
-            self._shell.callers.pop(request.request_id, None)
+            self._shell.response_writers.pop(request.request_id, None)
             if caller.has_failed:
                 # Its replica need not go on.
-                self._shell.apply(events.CallerLeft(request.request_id))
+                self._shell.apply(events.CallerDisconnected(request.request_id))
 
     async def _watch(self, request: model.Request, receive: Any) -> None:
         """Tells the reducer when the caller has closed its connection."""
         while (await receive())["type"] != "http.disconnect":
             pass
-        self._shell.apply(events.CallerLeft(request.request_id))
-        caller = self._shell.callers.get(request.request_id)
+        self._shell.apply(events.CallerDisconnected(request.request_id))
+        caller = self._shell.response_writers.get(request.request_id)
         if caller is not None:
-            caller.take(events.Break(request.request_id))
+            caller.write(events.AbortResponse(request.request_id))
 
     async def _send_refusal(
         self, send: Any, refusal: events.Refuse, attempt_id: str
@@ -333,13 +343,13 @@
 
 
 def _find_attempt(scope: Any, application: Application) -> str:
-    terms = application._dialect.read_terms(scope["headers"])
+    terms = application._dialect.decode_metadata(scope["headers"])
     return "" if isinstance(terms, str) else terms.attempt_id
 
 
 def _strip_prompt(
-    terms: model.Terms, route: document_module.Route
-) -> model.Terms:
+    terms: model.RequestMetadata, route: document_module.Route
+) -> model.RequestMetadata:
     """Returns the terms without a model where the route has no models."""
     return terms if route.has_prompts else attrs.evolve(terms, model="")
 
--- a/src/hickorylead/runtime/gateway.py
+++ b/src/hickorylead/runtime/gateway.py
@@ -13,7 +13,7 @@
 from hickorylead import notes
 from hickorylead.admission import budget as budget_module
 from hickorylead.forwarding import events, routes as routes_module
-from hickorylead.roles import gateway as gateway_role, nodes, seam
+from hickorylead.roles import gateway as gateway_role, interface, nodes
 from hickorylead.runtime import (
     clock,
     forwarding,
@@ -34,7 +34,7 @@
     from starlette import requests
 
     from hickorylead.configuration import document as document_module
-    from hickorylead.forwarding import dialect as dialect_module
+    from hickorylead.forwarding import header_codec as header_codec_module
 
 # A balancer that asks once a second and takes a node out after two misses
 # sends new connections for up to this long after the first miss, in seconds.
@@ -59,7 +59,7 @@
         seeds: Peer addresses of a few coordinators.
         metrics_port: Port for scrapes; 0 for none.
         grace_s: Time between SIGTERM and SIGKILL, in seconds.
-        retries: Retries that all gateways may make together.
+        retry_limits: Retries that all gateways may make together.
         bind_ip: IP number that it binds; empty if it is `ip`.
     """
 
@@ -72,23 +72,23 @@
     seeds: tuple[str, ...]
     metrics_port: int
     grace_s: float
-    retries: budget_module.RetryLimits = budget_module.DEFAULT_LIMITS
+    retry_limits: budget_module.RetryLimits = budget_module.DEFAULT_RETRY_LIMITS
     bind_ip: str = ""
 
     @property
-    def own_ip(self) -> str:
+    def listen_ip(self) -> str:
         """The IP number on which it listens."""
         return self.bind_ip or self.ip
 
 
-class GatewayShell:
+class GatewayProcess:
     """One gateway process."""
 
     def __init__(
         self,
         settings: Settings,
         *,
-        dialect: dialect_module.Dialect,
+        dialect: header_codec_module.HeaderCodec,
         read_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
@@ -109,7 +109,7 @@
         self.settings = settings
         self._opened = opened
         self.name = f"{settings.vm}.{random.getrandbits(24):x}"
-        node = nodes.name_node(settings.zone, settings.vm, nodes.GATEWAY)
+        node = nodes.make_node_name(settings.zone, settings.vm, nodes.GATEWAY)
         now = clock.read_boottime()
         self._rng = random.Random(f"{node} {clock.read_wall()}")
         self._reload = reload
@@ -122,13 +122,13 @@
         self._configured = asyncio.Event()
         # Requests that wait for the first configuration.
         self.waiting_to_start = 0
-        self.callers: dict[str, forwarding.Caller] = {}
+        self.response_writers: dict[str, forwarding.ResponseWriter] = {}
         self.role = gateway_role.Gateway(
             gateway_role.Identity(
                 node=node,
                 boot=self._rng.getrandbits(40),
                 seeds=settings.seeds,
-                retries=settings.retries,
+                retry_limits=settings.retry_limits,
             ),
             read_document=read_document,
             rng=self._rng,
@@ -152,20 +152,20 @@
         loop.add_signal_handler(signal.SIGHUP, self._take_new_settings)
         listener = listener_module.Listener(
             forwarding.Application(self, self._dialect),
-            settings.own_ip,
+            settings.listen_ip,
             settings.caller_port,
             self._limits,
             opened=self._opened,
         )
         ready = server_module.HttpServer(
-            self._make_ready_app(), settings.own_ip, settings.ready_port
+            self._make_ready_app(), settings.listen_ip, settings.ready_port
         )
         await self._peers.start()
         await ready.start()
         await listener.start()
         scraped = await scrape.serve(
             self._log,
-            self.settings.own_ip,
+            self.settings.listen_ip,
             self.settings.metrics_port,
             self._gauge,
         )
@@ -202,12 +202,12 @@
         """
         began = clock.read_boottime()
         ends = began + max(0.5, self.settings.grace_s - END_MARGIN_S)
-        self._limits.closing = True
-        self.apply(seam.StopAsked())
+        self._limits.close_after_response = True
+        self.apply(interface.StopRequested())
         while clock.read_boottime() < min(began + BALANCER_S, ends):
             await asyncio.sleep(POLL_S)
         listener.stop_listening()
-        while self.callers and clock.read_boottime() < ends:
+        while self.response_writers and clock.read_boottime() < ends:
             await asyncio.sleep(POLL_S)
             listener.close_idle()
 
@@ -227,7 +227,7 @@
                 self.waiting_to_start -= 1
         return self.role.routes
 
-    def tell(self, note: notes.Note) -> None:
+    def write_log(self, note: notes.Note) -> None:
         """Writes a line of the log."""
         self._log.write(note)
 
@@ -248,33 +248,33 @@
                 if effect.event == "configuration_applied":
                     self._configured.set()
                     self._take_limits()
-            case seam.Send(node, message):
+            case interface.Send(node, message):
                 self._peers.send(node, message)
-            case events.Open():
+            case events.StartAttempt():
                 self._open(effect)
-            case events.Cancel(request_id, attempt):
+            case events.CancelAttempt(request_id, attempt):
                 exchange = self._exchanges.pop((request_id, attempt), None)
                 if exchange is not None:
                     exchange.cancel()
-            case seam.Stopped():
+            case interface.Stopped():
                 pass
             case _:
-                caller = self.callers.get(effect.request_id)
+                caller = self.response_writers.get(effect.request_id)
                 if caller is not None:
-                    caller.take(effect)
+                    caller.write(effect)
 
-    def _open(self, opened: events.Open) -> None:
+    def _open(self, opened: events.StartAttempt) -> None:
         request = opened.request
-        attempt = forwarding.Attempt(
+        attempt = forwarding.AttemptReceiver(
             opened, dialect=self._dialect, deliver=self._deliver
         )
-        data = self._dialect.write_head(opened) + request.body
-        self._exchanges[request.request_id, opened.attempt] = self._pool.start(
-            opened.replica.address, data, attempt
+        data = self._dialect.encode_request_head(opened) + request.body
+        self._exchanges[request.request_id, opened.attempt] = (
+            self._pool.send_request(opened.replica.address, data, attempt)
         )
 
     def _deliver(self, event: events.Event) -> None:
-        if isinstance(event, events.Ended | events.Failed):
+        if isinstance(event, events.ResponseCompleted | events.AttemptFailed):
             self._exchanges.pop((event.request_id, event.attempt), None)
         self.apply(event)
 
@@ -282,32 +282,34 @@
         document = self.role.document
         return {
             "open_requests": self.role.count_open(),
-            "blocked_contents": self.role.count_blocked(),
-            "limited_replicas": self.role.count_limited(),
-            "paused_servers": self.role.count_paused(clock.read_boottime()),
+            "blocked_contents": self.role.count_blocked_requests(),
+            "limited_replicas": self.role.count_rate_limited_replicas(),
+            "paused_servers": self.role.count_paused_servers(
+                clock.read_boottime()
+            ),
             "configuration_version": document.version if document else 0,
             "ready": float(self.role.is_ready()),
             "connections_opened_total": self._pool.opened,
             **self.role.count_replicas(),
         }
 
-    def _receive(self, sender: str, message: seam.Message) -> None:
-        self.apply(seam.MessageArrived(sender, message, clock.read_wall()))
+    def _receive(self, sender: str, message: interface.Message) -> None:
+        self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
 
     def _choose_pause(self) -> float:
         """Returns the pause to the next tick, in seconds."""
-        return self.role.find_pause(clock.read_boottime())
+        return self.role.get_tick_delay(clock.read_boottime())
 
     def _tick(self) -> None:
-        self.apply(seam.Tick(clock.read_wall()))
+        self.apply(interface.Tick(clock.read_wall()))
 
     def _take_limits(self) -> None:
         document = self.role.document
         if document is not None:
             limits = document.limits
-            self._limits.header_bytes = limits.header_bytes
-            self._limits.header_s = limits.header_s
-            self._limits.idle_s = limits.idle_s
+            self._limits.max_header_bytes = limits.max_header_bytes
+            self._limits.header_timeout_s = limits.header_timeout_s
+            self._limits.idle_timeout_s = limits.idle_timeout_s
 
     def _take_new_settings(self) -> None:
         try:
--- a/src/hickorylead/runtime/headers.py
+++ b/src/hickorylead/runtime/headers.py
@@ -8,7 +8,7 @@
 
 from returns import result
 
-from hickorylead.claims import keys
+from hickorylead.claims import idempotency_keys
 from hickorylead.requests import model
 
 if TYPE_CHECKING:
@@ -61,11 +61,13 @@
     return result.Success(wait_s)
 
 
-def read_key(text: str) -> result.Result[keys.Key | None, str]:
+def read_key(
+    text: str,
+) -> result.Result[idempotency_keys.IdempotencyKey | None, str]:
     """Returns the key in an Idempotency-Key header, if there is one."""
     if not text:
         return result.Success(None)
-    match keys.parse_key(text):
+    match idempotency_keys.parse_key(text):
         case result.Success(key):
             return result.Success(key)
         case result.Failure(problem):
--- a/src/hickorylead/runtime/documents.py
+++ b/src/hickorylead/runtime/json_codec.py
@@ -101,7 +101,7 @@
     """Returns a backend server's announcement, or what is wrong with it."""
     match _read(_LENIENT, data, announcements.Announcement):
         case result.Success(found):
-            problems = announcements.check_state(found.state)
+            problems = announcements.validate_state(found.state)
             if problems:
                 return result.Failure("; ".join(problems))
             return result.Success(found)
--- a/src/hickorylead/runtime/listener.py
+++ b/src/hickorylead/runtime/listener.py
@@ -22,16 +22,17 @@
     """What callers may send and how long they may take; shared and mutable.
 
     Attributes:
-        header_bytes: Longest head of a request, in bytes.
-        header_s: Longest time for the head of a request, in seconds.
-        idle_s: Longest time that a connection may be idle, in seconds.
-        closing: Whether connections end after their present answer.
+        max_header_bytes: Longest head of a request, in bytes.
+        header_timeout_s: Longest time for the head of a request, in seconds.
+        idle_timeout_s: Longest time that a connection may be idle, in seconds.
+        close_after_response: Whether connections end after their present
+            answer.
     """
 
-    header_bytes: int = 16384
-    header_s: float = 3.0
-    idle_s: float = 15.0
-    closing: bool = False
+    max_header_bytes: int = 16384
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
+    close_after_response: bool = False
 
 
 # Where an application finds the connection of a request, in the extensions of
@@ -79,7 +80,7 @@
             self._in_head = True
             self._head_bytes = 0
             self._head_timer = self.loop.call_later(
-                self.limits.header_s, self._end_slow_head
+                self.limits.header_timeout_s, self._end_slow_head
             )
         super().data_received(data)
 
@@ -104,12 +105,12 @@
         self._disarm_head()
         super().on_headers_complete()
         self.scope["extensions"] = {CONNECTION_KEY: {"protocol": self}}
-        if self.limits.closing and self.cycle is not None:
+        if self.limits.close_after_response and self.cycle is not None:
             self.cycle.keep_alive = False
 
     def on_response_complete(self) -> None:
         """Waits for the next request, as long as the limits allow."""
-        self.timeout_keep_alive = self.limits.idle_s  # type: ignore[assignment]
+        self.timeout_keep_alive = self.limits.idle_timeout_s  # type: ignore[assignment]
         super().on_response_complete()
 
     def can_write(self) -> bool:
@@ -125,14 +126,14 @@
 
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > self.limits.header_bytes:
+        if self._head_bytes > self.limits.max_header_bytes:
             self._end_with(_TOO_LONG)
             # Nothing more of this connection is read.
             raise ValueError("the head of a request is too long")
 
     def _arm_idle(self) -> None:
         self.timeout_keep_alive_task = self.loop.call_later(
-            self.limits.idle_s, self.timeout_keep_alive_handler
+            self.limits.idle_timeout_s, self.timeout_keep_alive_handler
         )
 
     def _disarm_head(self) -> None:
--- a/src/hickorylead/runtime/peers.py
+++ b/src/hickorylead/runtime/peers.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from hickorylead.roles import seam
+    from hickorylead.roles import interface
 
 CONNECT_TIMEOUT_S = 1.0
 ACK_TIMEOUT_S = 2.0
@@ -100,7 +100,7 @@
         node: str,
         address: str,
         known: Mapping[str, str],
-        deliver: Callable[[str, seam.Message], None],
+        deliver: Callable[[str, interface.Message], None],
         log: Warner,
         bind_ip: str = "",
     ) -> None:
@@ -123,7 +123,7 @@
         self._deliver = deliver
         self._log = log
         self._links: dict[str, _Link] = {}
-        self._last_encoded: tuple[seam.Message | None, bytes] = (None, b"")
+        self._last_encoded: tuple[interface.Message | None, bytes] = (None, b"")
         self._server: asyncio.Server | None = None
         self._handlers: set[asyncio.Task[None]] = set()
 
@@ -143,7 +143,7 @@
             task.cancel()
         await asyncio.gather(*tasks, *self._handlers, return_exceptions=True)
 
-    def send(self, node: str, message: seam.Message) -> None:
+    def send(self, node: str, message: interface.Message) -> None:
         """Sends a message; it is dropped if the node's address is unknown."""
         if node == self._node:
             loop = asyncio.get_running_loop()
@@ -164,7 +164,7 @@
         link.waiting.append(self._encode(message))
         link.wake.set()
 
-    def _encode(self, message: seam.Message) -> bytes:
+    def _encode(self, message: interface.Message) -> bytes:
         """Returns the bytes of a message; one to many nodes is encoded once."""
         last, payload = self._last_encoded
         if last is not message:
--- a/src/hickorylead/runtime/process.py
+++ b/src/hickorylead/runtime/process.py
@@ -50,7 +50,7 @@
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
             await asyncio.sleep(EXPORT_PERIOD_S)
-            batch = tracer.take_batch()
+            batch = tracer.drain_batch()
             if batch:
                 await _post_batch(session, endpoint, batch)
 
--- a/src/hickorylead/runtime/answering.py
+++ b/src/hickorylead/runtime/response_queue.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define
-class Answering:
+class ResponseQueue:
     """The caller's side of one request.
 
     Attributes:
--- a/src/hickorylead/runtime/scrape.py
+++ b/src/hickorylead/runtime/scrape.py
@@ -37,7 +37,7 @@
         return None
 
     async def tell(_: requests.Request) -> responses.Response:
-        body = log.figures.render(gauge())
+        body = log.metrics.render(gauge())
         return responses.Response(body, media_type="text/plain")
 
     app = applications.Starlette(routes=[routing.Route("/metrics", tell)])
--- a/src/hickorylead/runtime/upstream.py
+++ b/src/hickorylead/runtime/upstream.py
@@ -37,20 +37,18 @@
 class Receiver(Protocol):
     """What becomes of one exchange; the methods are called in this order."""
 
-    def take_head(
+    def on_headers(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         """Takes status and headers, names in lower case."""
 
-    def take_piece(self, data: bytes) -> None:
+    def on_body_chunk(self, data: bytes) -> None:
         """Takes a piece of the body."""
 
-    def take_end(self) -> None:
+    def on_complete(self) -> None:
         """Takes the news that the answer is whole."""
 
-    def take_failure(
-        self, verdict: verdict_module.Verdict, reason: str
-    ) -> None:
+    def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
         """Takes the news that there will be no whole answer."""
 
 
@@ -94,10 +92,10 @@
         if is_unframed and exc is None:
             # Without a length the end of the connection ends the answer; a
             # reset does not: bytes may be missing.
-            receiver.take_end()
+            receiver.on_complete()
             return
         reason = "closed" if exc is None else "reset"
-        receiver.take_failure(Verdict.MAY_HAVE_RUN, reason)
+        receiver.on_failure(Verdict.MAY_HAVE_RUN, reason)
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes of the replica."""
@@ -158,12 +156,12 @@
             self._has_length = True
         if not self._parser.should_keep_alive():
             self._closes = True
-        self._receiver.take_head(status, self._headers)
+        self._receiver.on_headers(status, self._headers)
 
     def on_body(self, data: bytes) -> None:
         """Hands a piece of the body on."""
         if self._receiver is not None:
-            self._receiver.take_piece(data)
+            self._receiver.on_body_chunk(data)
 
     def on_message_complete(self) -> None:
         """Ends the exchange."""
@@ -186,7 +184,7 @@
             loop.call_soon(self._release, self)
         else:
             self.close()
-        receiver.take_end()
+        receiver.on_complete()
 
     # The caller's side.
 
@@ -208,23 +206,23 @@
         receiver = self._receiver
         self.close()
         if receiver is not None:
-            receiver.take_failure(Verdict.MAY_HAVE_RUN, reason)
+            receiver.on_failure(Verdict.MAY_HAVE_RUN, reason)
 
 
 class Exchange:
     """One request to one replica."""
 
     def __init__(self, pool: Pool, address: str, receiver: Receiver) -> None:
-        """Makes an exchange; `Pool.start` begins it."""
+        """Makes an exchange; `Pool.send_request` begins it."""
         self._pool = pool
         self._address = address
         self._receiver = receiver
         self._connection: Connection | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def begin(self, data: bytes, *, fresh: bool) -> None:
+    def start(self, data: bytes, *, fresh: bool) -> None:
         """Sends a request over a kept connection, or over a new one."""
-        connection = None if fresh else self._pool.take(self._address)
+        connection = None if fresh else self._pool.acquire(self._address)
         if connection is not None:
             self._connection = connection
             connection.send(data, self._receiver)
@@ -248,7 +246,7 @@
                 if isinstance(error, TimeoutError)
                 else "unreachable"
             )
-            self._receiver.take_failure(Verdict.NOT_RUN, reason)
+            self._receiver.on_failure(Verdict.NOT_RUN, reason)
             return
         self._connection = connection
         connection.send(data, self._receiver)
@@ -269,7 +267,7 @@
         )
         self.opened = 0
 
-    def start(
+    def send_request(
         self,
         address: str,
         data: bytes,
@@ -286,10 +284,10 @@
             fresh: Whether a new connection must be used.
         """
         exchange = Exchange(self, address, receiver)
-        exchange.begin(data, fresh=fresh)
+        exchange.start(data, fresh=fresh)
         return exchange
 
-    def take(self, address: str) -> Connection | None:
+    def acquire(self, address: str) -> Connection | None:
         """Returns a kept connection that its server still keeps, too."""
         idle = self._idle.get(address)
         now = asyncio.get_running_loop().time()
--- a/src/hickorylead/settings/options.py
+++ b/src/hickorylead/settings/options.py
@@ -150,7 +150,7 @@
             return result.Failure(f"{item!r} is not zone/vm=ip:port")
         if not 1 <= number <= 65535:
             return result.Failure(f"port of {item!r} is not within 1..65535")
-        node = nodes.name_node(zone, vm, nodes.CONTROL)
+        node = nodes.make_node_name(zone, vm, nodes.CONTROL)
         if node in found:
             return result.Failure(f"{place} is named twice")
         found[node] = address
--- a/src/hickorylead/storage/folder.py
+++ b/src/hickorylead/storage/folder.py
@@ -59,7 +59,7 @@
         self._journal.append(codec.encode_record(record))
         self._count += 1
 
-    def is_long(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Says whether the journal should be replaced by what it amounts to."""
         return self._count >= REWRITE_EVERY
 
--- a/src/hickorylead/storage/memo.py
+++ b/src/hickorylead/storage/saved_value.py
@@ -17,7 +17,7 @@
 _HEADER = struct.Struct(">IQI")
 
 
-class Memo:
+class SavedValue:
     """A value in two files of a folder."""
 
     def __init__(self, folder: pathlib.Path, name: str) -> None:
--- a/src/hickorylead/telemetry/figures.py
+++ b/src/hickorylead/telemetry/decision_metrics.py
@@ -24,7 +24,7 @@
 MAX_LABELS = 64
 
 
-class Figures:
+class DecisionMetrics:
     """What a process has counted."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         )
         self._durations: dict[tuple[str, str], list[float]] = {}
 
-    def take(self, note: notes.Note) -> None:
+    def count(self, note: notes.Note) -> None:
         """Counts a decision."""
         detail = str(
             note.fields.get("outcome")
--- a/src/hickorylead/telemetry/decisions.py
+++ b/src/hickorylead/telemetry/decisions.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from hickorylead.telemetry import figures
+from hickorylead.telemetry import decision_metrics
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,12 +57,12 @@
         self._window = 0.0
         self._written = 0
         self._dropped = 0
-        self.figures = figures.Figures()
+        self.metrics = decision_metrics.DecisionMetrics()
         os.set_blocking(self._descriptor, False)
 
     def write(self, note: notes.Note) -> None:
         """Writes a note, or counts it as dropped if there are too many."""
-        self.figures.take(note)
+        self.metrics.count(note)
         if list(_SHARES).index(note.level) < self._least:
             return
         now = self._clock()
--- a/src/hickorylead/telemetry/metrics.py
+++ b/src/hickorylead/telemetry/metrics.py
@@ -52,7 +52,9 @@
             "hickorylead_replicas", "Replicas known here, by zone."
         )
 
-    def count_end(self, service: str, verdict: verdict_module.Verdict) -> None:
+    def count_request(
+        self, service: str, verdict: verdict_module.Verdict
+    ) -> None:
         """Counts a request that has its final answer."""
         self._requests.inc({"service": service, "verdict": verdict.value})
 
@@ -68,11 +70,13 @@
         """Counts the tokens of an answer."""
         self._tokens.add({"service": service}, tokens)
 
-    def set_queued(self, service: str, urgency: int, count: int) -> None:
+    def set_queued_requests(
+        self, service: str, urgency: int, count: int
+    ) -> None:
         """Sets how many requests wait."""
         self._queued.set({"service": service, "urgency": str(urgency)}, count)
 
-    def set_open(self, count: int) -> None:
+    def set_open_requests(self, count: int) -> None:
         """Sets how many requests have no final answer yet."""
         self._open.set({}, count)
 
--- a/src/hickorylead/telemetry/traces.py
+++ b/src/hickorylead/telemetry/traces.py
@@ -16,7 +16,7 @@
 
     traceparent: str
 
-    def set_field(self, name: str, value: str | int) -> None:
+    def set_attribute(self, name: str, value: str | int) -> None:
         """Adds a field to the span."""
 
     def end(self) -> None:
@@ -29,7 +29,7 @@
     def start(self, name: str, traceparent: str) -> Span:
         """Starts a span below a trace context, which may be empty."""
 
-    def take_batch(self) -> bytes:
+    def drain_batch(self) -> bytes:
         """Returns the ended spans as an OTLP request; empty if none are."""
 
 
@@ -39,7 +39,7 @@
     def __init__(self, traceparent: str) -> None:
         self.traceparent = traceparent
 
-    def set_field(self, name: str, value: str | int) -> None:
+    def set_attribute(self, name: str, value: str | int) -> None:
         """Does nothing."""
 
     def end(self) -> None:
@@ -51,7 +51,7 @@
         """Returns a span that passes the context on unchanged."""
         return _PassedSpan(traceparent)
 
-    def take_batch(self) -> bytes:
+    def drain_batch(self) -> bytes:
         """Returns nothing: there are no spans."""
         return b""
 
@@ -61,7 +61,7 @@
         self._span = span
         self.traceparent = carrier.get("traceparent", "")
 
-    def set_field(self, name: str, value: str | int) -> None:
+    def set_attribute(self, name: str, value: str | int) -> None:
         self._span.set_attribute(name, value)
 
     def end(self) -> None:
@@ -72,7 +72,7 @@
     """Makes spans that are exported.
 
     The library's own exporters send from a thread of theirs; here the loop
-    sends what `take_batch` returns.
+    sends what `drain_batch` returns.
     """
 
     def __init__(self, fields: dict[str, str]) -> None:
@@ -109,7 +109,7 @@
         self._propagator.inject(inner, context=self._set_span(span))
         return _ExportedSpan(span, inner)
 
-    def take_batch(self) -> bytes:
+    def drain_batch(self) -> bytes:
         """Returns the ended spans as an OTLP request; empty if none are."""
         if not self._ended:
             return b""
--- a/src/hickorylead/wire/codec.py
+++ b/src/hickorylead/wire/codec.py
@@ -26,7 +26,7 @@
     from collections.abc import Callable
 
     from hickorylead.consensus import messages as consensus
-    from hickorylead.roles import seam
+    from hickorylead.roles import interface
 
 # A packed message may unpack to much more than its size; this bounds it.
 MAX_TRAVERSED_WORDS = 8 * 1024 * 1024
@@ -47,7 +47,7 @@
 
     sender: str
     address: str
-    message: seam.Message
+    message: interface.Message
 
 
 @functools.cache
--- a/src/hickorylead_standins/platform.py
+++ b/src/hickorylead_standins/platform.py
@@ -145,10 +145,10 @@
 
     async def _beat(self) -> None:
         while True:
-            await self.tell()
+            await self.send_heartbeat()
             await asyncio.sleep(0.2)
 
-    async def tell(self) -> int:
+    async def send_heartbeat(self) -> int:
         """Tells of itself; returns the status of the answer."""
         self._beats += 1
         body: dict[str, Any] = {
@@ -204,21 +204,21 @@
         said = {"Server-Leaving": "1"} if self.manner.is_leaving else {}
         if request.target == "/order":
             status = self._take_order(orjson.loads(request.body))
-            write(writer, status, b"", **said)
+            write_response(writer, status, b"", **said)
             return
         if request.target == "/report":
             report = {"Sequence": self._orders, "group": self._group}
-            write(writer, 200, orjson.dumps(report), **said)
+            write_response(writer, 200, orjson.dumps(report), **said)
             return
         self.received.append(request)
         expected = request.headers.get("expect-instance", self.name)
         is_member = bool(self._group.get("rank"))
         if expected != self.name or is_member:
-            write(writer, 421, b"", **said)
+            write_response(writer, 421, b"", **said)
         elif self.manner.sheds:
             if self.manner.retry_after_s is not None:
                 said["Retry-After"] = str(self.manner.retry_after_s)
-            write(writer, 503, b"", **{"Not-Executed": "1"}, **said)
+            write_response(writer, 503, b"", **{"Not-Executed": "1"}, **said)
         elif self.manner.events:
             await self._stream(request, writer)
         else:
@@ -228,7 +228,7 @@
             headers |= said
             if self.manner.limit_per_s is not None:
                 headers["Server-Limit"] = str(self.manner.limit_per_s)
-            write(writer, 200, body, **headers)
+            write_response(writer, 200, body, **headers)
             writer.write(self.manner.extra)
 
     async def _stream(
@@ -295,10 +295,10 @@
         await asyncio.sleep(delay_s)
         if state and self._group:
             self._group["State"] = state
-        await self.tell()
+        await self.send_heartbeat()
 
 
-def write(
+def write_response(
     writer: asyncio.StreamWriter, status: int, body: bytes, **headers: str
 ) -> None:
     """Writes a whole answer."""
@@ -308,7 +308,7 @@
     writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
 
-async def ask(address: str, data: bytes, source_ip: str = "") -> bytes:
+async def send_raw(address: str, data: bytes, source_ip: str = "") -> bytes:
     """Sends bytes to an address and returns all that comes until it closes."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(
@@ -332,7 +332,7 @@
         "\r\n\r\n"
     )
     try:
-        answer = await ask(address, head.encode() + content, source_ip)
+        answer = await send_raw(address, head.encode() + content, source_ip)
     except OSError:
         # Not listening: the caller goes on to the next address.
         return 0
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -8,7 +8,7 @@
 
 import httptools
 import orjson
-from support import platformday
+from support import platform_cluster
 
 from soak import engines, judge as judge_module, nodes
 
@@ -222,7 +222,7 @@
 
 def make_configuration(version: int, label: str) -> dict:
     """Returns a configuration whose workspace tells its version."""
-    found = platformday.make_configuration(version)
+    found = platform_cluster.make_configuration(version)
     found["Routes"].append(
         {
             **found["Routes"][1],
--- a/tests/soak/engines.py
+++ b/tests/soak/engines.py
@@ -7,7 +7,7 @@
 import time
 
 import orjson
-from support import replicas
+from support import simulated_servers
 
 from hickorylead.fleet import instances, orders
 from hickorylead_standins import platform
@@ -70,7 +70,7 @@
         self.zone = zone
         self.domain = domain
         self.alive = True
-        self.model = replicas.Replica(name, zone, domain)
+        self.model = simulated_servers.SimulatedServer(name, zone, domain)
         self._judge = judge
         self._trouble = trouble
         self._everyone = everyone
@@ -94,14 +94,14 @@
         """Says that it drains, serves on for a while, and ends."""
         self.state = "draining"
         self.model.phase = instances.PHASE_DRAINING
-        await self.tell()
+        await self.send_heartbeat()
         await asyncio.sleep(2.5)
         await self.deregister()
         self.crash()
 
     async def _beat(self) -> None:
         while True:
-            await self.tell()
+            await self.send_heartbeat()
             await asyncio.sleep(BEAT_S)
 
     async def _turn_over(self) -> None:
@@ -114,9 +114,9 @@
                     self._judge.note_ready(
                         self.name, member.group, member.epoch
                     )
-                self._spawn(self.tell())
+                self._spawn(self.send_heartbeat())
 
-    async def tell(self) -> int:
+    async def send_heartbeat(self) -> int:
         """Tells of itself; returns the status of the answer."""
         self._beats += 1
         body = {
@@ -130,7 +130,7 @@
             "Sequence": self._beats,
         }
         if self.domain:
-            told = self.model.tell()
+            told = self.model.make_heartbeat()
             body["Domain"] = self.domain
             body["Staged"] = list(told.staged)
             body["Models"] = [{"Name": name} for name in told.models]
@@ -167,10 +167,10 @@
         found = _read_order(order)
         if isinstance(found, orders.Join):
             self._check_two(found)
-        status = self.model.take(found, order.get("Expected"), now)
+        status = self.model.apply_order(found, order.get("Expected"), now)
         self._orders = self.model.accepted
         if status < 300:
-            self._spawn(self.tell())
+            self._spawn(self.send_heartbeat())
         return status
 
     async def _take_late(self, order) -> None:
@@ -211,11 +211,11 @@
         attempt = headers.get("attempt-id", "")
         expected = headers.get("expect-instance", self.name)
         if expected != self.name or (self.domain and self.model.member.rank):
-            platform.write(writer, 421, b"")
+            platform.write_response(writer, 421, b"")
             return
         is_open = self.model.member.state == instances.GROUP_OPEN
         if self.domain and not is_open:
-            platform.write(writer, 503, b"", **{"Not-Executed": "1"})
+            platform.write_response(writer, 503, b"", **{"Not-Executed": "1"})
             return
         if self.domain:
             await self._run_stream(request, attempt, writer)
@@ -225,7 +225,7 @@
         if self._trouble.loses():
             writer.transport.abort()
             return
-        platform.write(
+        platform.write_response(
             writer,
             200,
             judge_module.make_body(attempt),
@@ -242,7 +242,7 @@
     async def _run_stream(self, request, attempt: str, writer) -> None:
         member, members = self.model.member, self.model.members
         if not await self._wait_members(members):
-            platform.write(writer, 503, b"", **{"Not-Executed": "1"})
+            platform.write_response(writer, 503, b"", **{"Not-Executed": "1"})
             return
         self._judge.check_whole(self.name, member.group, member.epoch, members)
         self._begin(attempt, request.headers)
@@ -268,7 +268,7 @@
 
     async def _wait_members(self, members: tuple[str, ...]) -> bool:
         """Waits while a member is gone; the head breaks after a while."""
-        ends = time.monotonic() + replicas.STALL_S
+        ends = time.monotonic() + simulated_servers.STALL_S
         epoch = self.model.member.epoch
         while not all(
             name in self._everyone
--- a/tests/steps/caller_steps.py
+++ b/tests/steps/caller_steps.py
@@ -41,18 +41,18 @@
         scope = {
             "extensions": {listener.CONNECTION_KEY: {"protocol": connection}}
         }
-        caller = forwarding.Caller(scope, connection.send, print)
-        task = asyncio.ensure_future(caller.answer())
-        caller.take(events.Start("r", 200, ()))
-        caller.take(events.Emit("r", context.pieces[0]))
+        caller = forwarding.ResponseWriter(scope, connection.send, print)
+        task = asyncio.ensure_future(caller.run())
+        caller.write(events.StartResponse("r", 200, ()))
+        caller.write(events.WriteChunk("r", context.pieces[0]))
         assert len(connection.sent) == 2, "the first is written at once"
         connection.free.clear()
-        caller.take(events.Emit("r", context.pieces[1]))
+        caller.write(events.WriteChunk("r", context.pieces[1]))
         for _ in range(3):
             await asyncio.sleep(0)
         connection.free.set()
-        caller.take(events.Emit("r", context.pieces[2]))
-        caller.take(events.Finish("r"))
+        caller.write(events.WriteChunk("r", context.pieces[2]))
+        caller.write(events.FinishResponse("r"))
         await task
         return connection.sent
 
@@ -85,10 +85,12 @@
                 listener.CONNECTION_KEY: {"protocol": SlowConnection()}
             }
         }
-        caller = forwarding.Caller(scope, context.refuse, context.lines.append)
-        task = asyncio.ensure_future(caller.answer())
-        caller.take(events.Start("r", 200, ((b"x", b"\x7f"),)))
-        caller.take(events.Emit("r", b"piece"))
+        caller = forwarding.ResponseWriter(
+            scope, context.refuse, context.lines.append
+        )
+        task = asyncio.ensure_future(caller.run())
+        caller.write(events.StartResponse("r", 200, ((b"x", b"\x7f"),)))
+        caller.write(events.WriteChunk("r", b"piece"))
         async with asyncio.timeout(5):
             context.refusal = await task
         context.caller = caller
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from returns import result
 
-from hickorylead.claims import holder, keys, messages
+from hickorylead.claims import claim_holder, idempotency_keys, messages
 from hickorylead.requests import events
 from hickorylead.roles import nodes
 from hickorylead.verdict import Verdict
@@ -54,14 +54,14 @@
 
 @when('the same key is sent through "{zone}"')
 def _(context, zone):
-    age_s = context.world.now - context.last.asked_at
+    age_s = context.world.now - context.last.submitted_at
     send(context, find_entry(context, zone), key_age_s=age_s)
 
 
 @then("the resend gets the first answer, marked as replayed")
 def _(context):
-    final = context.last.final
-    assert isinstance(final, events.GiveAnswer) and final.replayed, final
+    final = context.last.final_effect
+    assert isinstance(final, events.SendResponse) and final.replayed, final
     assert final.body == b"run for " + BODY
     assert context.world.key_runs[KEY] == 1
 
@@ -82,20 +82,22 @@
     world = context.world
     context.node = world.entries[0]
     answer = send(context, context.node)
-    world.run_until(lambda: answer.final)
+    world.run_until(lambda: answer.final_effect)
     world.kill(context.node)
 
 
 @when("the same key is sent through another entry")
 def _(context):
     node = find_entry(context, context.world.zones[2])
-    send(context, node, key_age_s=context.world.now - context.last.asked_at)
+    send(context, node, key_age_s=context.world.now - context.last.submitted_at)
 
 
 @then("the resend is told that it may have run, and it ran once")
 def _(context):
-    assert context.last.verdict == Verdict.MAY_HAVE_RUN, context.last.final
-    assert context.last.final.problem.retry_after_s is not None
+    assert context.last.verdict == Verdict.MAY_HAVE_RUN, (
+        context.last.final_effect
+    )
+    assert context.last.final_effect.problem.retry_after_s is not None
     assert context.world.key_runs[KEY] == 1
 
 
@@ -106,20 +108,20 @@
 
 @then('the call is refused as not run with code "{code}"')
 def _(context, code):
-    assert context.last.verdict == Verdict.NOT_RUN, context.last.final
+    assert context.last.verdict == Verdict.NOT_RUN, context.last.final_effect
     assert context.last.code == code, context.last.code
 
 
 @then('the call is refused as {verdict} with code "{code}"')
 def _(context, verdict, code):
-    assert context.last.code == code, context.last.final
+    assert context.last.code == code, context.last.final_effect
     assert context.last.verdict == Verdict(verdict)
 
 
 @then("it may be sent again later")
 def _(context):
-    assert context.last.final.problem.retry_after_s >= 1
-    waited_s = context.last.ended_at - context.last.asked_at
+    assert context.last.final_effect.problem.retry_after_s >= 1
+    waited_s = context.last.ended_at - context.last.submitted_at
     assert waited_s <= 1.0, waited_s
 
 
@@ -166,15 +168,15 @@
     for server in world.servers.values():
         server.alive = True
     world.run(8)
-    age_s = world.now - context.first.asked_at
+    age_s = world.now - context.first.submitted_at
     context.second = send(context, world.entries[4], key_age_s=age_s)
     world.run(3)
 
 
 @then("the first was refused as not run and the second ran")
 def _(context):
-    assert context.first.verdict == Verdict.NOT_RUN, context.first.final
-    assert context.second.verdict == Verdict.RAN, context.second.final
+    assert context.first.verdict == Verdict.NOT_RUN, context.first.final_effect
+    assert context.second.verdict == Verdict.RAN, context.second.final_effect
 
 
 @when("the same key is sent with another body")
@@ -184,7 +186,7 @@
 
 @then('the key "{key}" is {read}')
 def _(_, key, read):
-    taken = isinstance(keys.parse_key(key), result.Success)
+    taken = isinstance(idempotency_keys.parse_key(key), result.Success)
     assert taken == (read == "taken")
 
 
@@ -197,7 +199,9 @@
 
 @given("a holder that is given {count:d} claims with answers of {size:d} bytes")
 def _(context, count, size):
-    context.holder = holder.Holder(node="z/v/control", started_at=0.0)
+    context.holder = claim_holder.ClaimHolder(
+        node="z/v/control", started_at=0.0
+    )
     answer = messages.FinalAnswer("ran", 200, "", b"x" * size, True)
     context.granted = []
     for number in range(count):
--- a/tests/steps/consensus_steps.py
+++ b/tests/steps/consensus_steps.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from behave import then, when
-from support import operator
+from support import operator_actions
 
 from hickorylead.configuration import changes
 from hickorylead.roles import nodes
@@ -34,7 +34,7 @@
     world = context.world
     expected = get_version(world, world.controls[0])
     context.pair = [
-        operator.submit(
+        operator_actions.submit(
             world,
             changes.DrainVm(f"vm-{node}", True),
             change_id=f"race-{node}",
@@ -59,9 +59,11 @@
 @when("a change is accepted and its leader is killed")
 def _(context):
     world = context.world
-    context.expected = get_version(world, operator.find_leader(world))
-    context.version = operator.apply(world, SWITCH, change_id="change-resent")
-    context.killed = operator.find_leader(world)
+    context.expected = get_version(world, operator_actions.find_leader(world))
+    context.version = operator_actions.apply(
+        world, SWITCH, change_id="change-resent"
+    )
+    context.killed = operator_actions.find_leader(world)
     world.kill(context.killed)
 
 
@@ -74,8 +76,8 @@
         if nodes.get_zone(n) != nodes.get_zone(context.killed)
     )
     del world.outcomes["change-resent"]
-    world.run_until(lambda: operator.find_leader(world))
-    operator.submit(
+    world.run_until(lambda: operator_actions.find_leader(world))
+    operator_actions.submit(
         world,
         SWITCH,
         change_id="change-resent",
@@ -89,7 +91,7 @@
 def _(context):
     outcome = context.world.outcomes["change-resent"].outcome
     assert outcome.accepted and outcome.version == context.version, outcome
-    leader = operator.find_leader(context.world)
+    leader = operator_actions.find_leader(context.world)
     assert get_version(context.world, leader) == context.version
 
 
@@ -98,7 +100,7 @@
     world = context.world
     context.asked_at = world.now
     node = next(n for n in world.entries if nodes.get_zone(n) == zone)
-    operator.submit(
+    operator_actions.submit(
         world, changes.DrainVm("never", True), change_id="cut-off", node=node
     )
 
@@ -121,11 +123,11 @@
 @when("the leader is cut off from all others")
 def _(context):
     world = context.world
-    context.old = operator.find_leader(world)
+    context.old = operator_actions.find_leader(world)
     context.version = get_version(world, context.old)
     for other in (*world.controls, *world.entries):
         if other != context.old:
-            world.cut(context.old, other)
+            world.partition(context.old, other)
 
 
 @then("never two processes lead, and a new one leads within {seconds:g} s")
@@ -134,7 +136,9 @@
 
     def has_new_leader():
         leaders = [
-            n for n in world.voters if world.roles[n].voter.leads(world.now)
+            n
+            for n in world.voters
+            if world.roles[n].voter.is_ready_leader(world.now)
         ]
         assert len(leaders) <= 1, leaders
         return leaders and leaders != [context.old]
@@ -153,19 +157,21 @@
         for n in world.entries
         if nodes.get_zone(n) != nodes.get_zone(context.old)
     )
-    version = operator.apply(world, SWITCH, node=node, expected=context.version)
+    version = operator_actions.apply(
+        world, SWITCH, node=node, expected=context.version
+    )
     follow(world, version, seconds, skip=(context.old,))
 
 
 @when("a voter that does not lead is cut off for {seconds:g} s")
 def _(context, seconds):
     world = context.world
-    context.old = operator.find_leader(world)
+    context.old = operator_actions.find_leader(world)
     context.term = world.roles[context.old].voter.term
     cut = next(v for v in world.voters if v != context.old)
     for other in world.controls:
         if other != cut:
-            world.cut(cut, other)
+            world.partition(cut, other)
     world.run(seconds)
     world.heal()
     world.run(10)
@@ -174,34 +180,36 @@
 @then("the leader and its term are as before")
 def _(context):
     world = context.world
-    assert operator.find_leader(world) == context.old
+    assert operator_actions.find_leader(world) == context.old
     assert world.roles[context.old].voter.term == context.term
 
 
 @when("each voter loses its disk, one after another")
 def _(context):
     world = context.world
-    context.version = operator.apply(world, changes.DrainVm("kept", True))
+    context.version = operator_actions.apply(
+        world, changes.DrainVm("kept", True)
+    )
     for voter in world.voters:
-        world.lose_disk(voter)
+        world.wipe_disk(voter)
         world.run(1)
         world.start(voter)
-        incarnation = f"{voter}#i{world.disk_lives[voter]}"
+        incarnation = f"{voter}#i{world.disk_incarnations[voter]}"
         world.run_until(
             lambda i=incarnation: (
-                (leader := operator.find_leader(world))
+                (leader := operator_actions.find_leader(world))
                 and i in world.roles[leader].voter.voters
                 and len(world.roles[leader].voter.voters) == 3
             ),
             limit_s=40,
         )
-    assert all(world.disk_lives[v] == 1 for v in world.voters)
+    assert all(world.disk_incarnations[v] == 1 for v in world.voters)
 
 
 @then("every accepted change is still in force")
 def _(context):
     world = context.world
-    version = operator.apply(world, SWITCH)
+    version = operator_actions.apply(world, SWITCH)
     assert version == context.version + 1
     follow(world, version, 8)
     for node in world.entries:
@@ -211,16 +219,16 @@
 @when("two voters lose their disks at the same time")
 def _(context):
     world = context.world
-    context.version = get_version(world, operator.find_leader(world))
+    context.version = get_version(world, operator_actions.find_leader(world))
     for voter in world.voters[:2]:
-        world.lose_disk(voter)
+        world.wipe_disk(voter)
         world.start(voter)
 
 
 @then("no process leads and the version in force is as before")
 def _(context):
     world = context.world
-    assert not operator.find_leader(world)
+    assert not operator_actions.find_leader(world)
     for node in world.entries:
         assert get_version(world, node) == context.version, node
 
@@ -236,7 +244,7 @@
 @when("a voter is away for {count:d} changes")
 def _(context, count):
     world = context.world
-    leader = operator.find_leader(world)
+    leader = operator_actions.find_leader(world)
     context.away = next(v for v in world.voters if v != leader)
     world.kill(context.away)
     node = next(
@@ -244,7 +252,7 @@
     )
     for number in range(count):
         drain = changes.DrainVm("vm-x", number % 2 == 0)
-        context.version = operator.apply(
+        context.version = operator_actions.apply(
             world, drain, node=node, change_id=f"many-{number:04}"
         )
 
@@ -269,7 +277,7 @@
 
 @when("a change is accepted")
 def _(context):
-    context.version = operator.apply(context.world, SWITCH)
+    context.version = operator_actions.apply(context.world, SWITCH)
 
 
 @then("all processes follow it within {seconds:g} s")
@@ -284,8 +292,8 @@
     behind = own[1]
     for other in (*world.controls, *world.entries):
         if other != behind:
-            world.cut(behind, other)
-    context.version = operator.apply(
+            world.partition(behind, other)
+    context.version = operator_actions.apply(
         world, changes.DrainVm("newer", True), node=world.entries[-1]
     )
     follow(world, context.version, 8, skip=(behind,))
@@ -294,10 +302,10 @@
         # The others of the zone are gone, or lost what they held.
         if node not in (behind, own[2]):
             world.kill(node)
-    world.cut_zone(zone)
+    world.isolate_zone(zone)
     context.zone, context.behind = zone, behind
     # The one that is behind must not learn the newer version first.
-    world.cut(behind, own[2])
+    world.partition(behind, own[2])
 
 
 @when('an entry of "{zone}" restarts')
@@ -325,7 +333,9 @@
 @when("a change is accepted and every process restarts at once")
 def _(context):
     world = context.world
-    context.version = operator.apply(world, changes.DrainVm("kept", True))
+    context.version = operator_actions.apply(
+        world, changes.DrainVm("kept", True)
+    )
     for node in (*world.controls, *world.entries):
         world.start(node)
 
@@ -339,7 +349,7 @@
 
 @when("the leader is killed")
 def _(context):
-    context.killed = operator.find_leader(context.world)
+    context.killed = operator_actions.find_leader(context.world)
     context.world.kill(context.killed)
 
 
@@ -352,7 +362,7 @@
     number = 0
     while world.now < end:
         number += 1
-        change_id = operator.submit(
+        change_id = operator_actions.submit(
             world, SWITCH, change_id=f"again-{number}", node=node
         )
         world.run_until(lambda c=change_id: c in world.outcomes)
--- a/tests/steps/crash_steps.py
+++ b/tests/steps/crash_steps.py
@@ -3,36 +3,36 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from support import crashplay, fleetworld
+from support import fleet_simulation, traffic_simulation
 
 from hickorylead.forwarding import refusals
 
 DEADLY = b"ends its replica"
 # What many callers ask again and again.
 COMMON = b"asked by many"
-BLOCKED = refusals.BLOCKED
+BLOCKED = refusals.BLOCKED_REASON
 # Other callers send one request each so many seconds.
 OTHERS_S = 0.05
 
 
 def send(play, seconds, *, deadly_each_s=0.0, others_each_s=OTHERS_S):
     """Has callers send requests, in turn to all gateways."""
-    step = crashplay.STEP_S
+    step = traffic_simulation.STEP_S
     gateways = sorted(play.world.gateways)
     for number in range(round(seconds / step)):
         if is_due(number, deadly_each_s):
             turn = number // round(deadly_each_s / step)
-            play.ask(gateways[turn % len(gateways)], DEADLY)
+            play.submit(gateways[turn % len(gateways)], DEADLY)
         if is_due(number, others_each_s):
             turn = number // round(others_each_s / step)
             body = b"other %d" % len(play.submissions)
-            play.ask(gateways[turn % len(gateways)], body)
+            play.submit(gateways[turn % len(gateways)], body)
         play.run(step)
 
 
 def is_due(number, each_s):
     """Says whether something is due in a step."""
-    return each_s and number % round(each_s / crashplay.STEP_S) == 0
+    return each_s and number % round(each_s / traffic_simulation.STEP_S) == 0
 
 
 def list_others(play, since=0.0):
@@ -48,9 +48,9 @@
 
 @given("gateways with {count:d} replicas' servers and callers")
 def _(context, count):
-    world = fleetworld.FleetWorld(servers_per_zone=count // 3)
-    world.settle()
-    context.play = crashplay.CrashPlay(world)
+    world = fleet_simulation.FleetSimulation(servers_per_zone=count // 3)
+    world.bootstrap()
+    context.play = traffic_simulation.TrafficSimulation(world)
     context.play.deadly.add(DEADLY)
     # Coordinators must know that there is traffic, as loads count then.
     send(context.play, 2.0)
@@ -102,13 +102,13 @@
 def _(context, count):
     play = context.play
     gateways = sorted(play.world.gateways)
-    play.ask(gateways[0], DEADLY)
+    play.submit(gateways[0], DEADLY)
     play.run(1.0)
     assert len(play.find_lost(DEADLY)) == 2, play.find_lost(DEADLY)
     for _ in range(3):
         for gateway in gateways:
             for _ in range(count):
-                play.ask(gateway, DEADLY)
+                play.submit(gateway, DEADLY)
         play.run(1.5)
 
 
@@ -120,11 +120,11 @@
     play = context.play
     gateway = min(play.world.gateways)
     play.leaves_early = True
-    play.ask(gateway, DEADLY)
+    play.submit(gateway, DEADLY)
     play.run(1.0)
     assert len(play.find_lost(DEADLY)) == 1, play.find_lost(DEADLY)
     for _ in range(count):
-        play.ask(gateway, DEADLY)
+        play.submit(gateway, DEADLY)
     play.run(3.0)
 
 
@@ -140,7 +140,7 @@
 @when("a request loses 2 servers that end for another reason")
 def _(context):
     play = context.play
-    submission = play.ask(min(play.world.gateways), COMMON)
+    submission = play.submit(min(play.world.gateways), COMMON)
     for count in (1, 2):
         play.run(0.05)
         assert len(submission.sent) == count, submission
@@ -158,7 +158,7 @@
     began = play.world.now
     sent = []
     for number in range(round((delay + 3.0) / 0.2)):
-        sent.append(play.ask(gateways[number % len(gateways)], COMMON))
+        sent.append(play.submit(gateways[number % len(gateways)], COMMON))
         play.run(0.2)
     play.run(3.0)
     late = [s for s in sent if s.asked_at >= began + delay]
@@ -205,8 +205,8 @@
     for role in world.coordinators.values():
         assert role.crashes.count_blocked() == 0
         # They did hear of the lost runs.
-        assert role.crashes.check != 0
-    assert not any(g.count_blocked() for g in world.gateways.values())
+        assert role.crashes.digest != 0
+    assert not any(g.count_blocked_requests() for g in world.gateways.values())
 
 
 @when("all heads that run something end at once under the same request")
@@ -214,7 +214,7 @@
     play = context.play
     for number in range(40):
         gateways = sorted(play.world.gateways)
-        play.ask(gateways[number % len(gateways)], COMMON)
+        play.submit(gateways[number % len(gateways)], COMMON)
         play.run(0.05)
     running = play.list_running()
     for name in running:
@@ -229,7 +229,7 @@
     gateways = sorted(play.world.gateways)
     asked = []
     for number in range(round(limit_s / 0.2)):
-        asked.append(play.ask(gateways[number % len(gateways)], COMMON))
+        asked.append(play.submit(gateways[number % len(gateways)], COMMON))
         play.run(0.2)
     play.run(2.0)
     late = asked[-len(gateways) :]
@@ -248,7 +248,7 @@
     # is asked until the servers have ended.
     for number in range(count * len(gateways)):
         if len(play.find_lost(DEADLY)) < before + count:
-            play.ask(gateways[number % len(gateways)], DEADLY)
+            play.submit(gateways[number % len(gateways)], DEADLY)
             play.run(0.5)
     play.leaves_early = False
     assert len(play.find_lost(DEADLY)) == before + count, play.ended
@@ -265,7 +265,7 @@
 def check_refused(play):
     """Checks that each gateway refuses the request."""
     for node in sorted(play.world.gateways):
-        submission = play.ask(node, DEADLY)
+        submission = play.submit(node, DEADLY)
         assert submission.reason == BLOCKED, (node, submission)
         assert submission.status == 503, submission
         assert not submission.sent, submission
@@ -284,22 +284,22 @@
     play = context.play
     role = play.world.gateways[context.node]
     for _ in range(300):
-        play.run(crashplay.STEP_S)
+        play.run(traffic_simulation.STEP_S)
         if role.is_ready():
             break
     assert role.is_ready()
-    assert play.ask(context.node, DEADLY).reason == BLOCKED
+    assert play.submit(context.node, DEADLY).reason == BLOCKED
 
 
 @when("all coordinators and gateways lose power and start again")
 def _(context):
     play = context.play
-    nodes = [*play.world.core, *sorted(play.world.gateways)]
+    nodes = [*play.world.coordinator_names, *sorted(play.world.gateways)]
     for node in nodes:
         play.world.kill(node)
     play.run(1.0)
     for node in nodes:
-        if node in play.world.core:
+        if node in play.world.coordinator_names:
             play.world.start(node)
         else:
             play.world.start_gateway(node)
@@ -308,7 +308,7 @@
 @when("the coordinators lose their disks one after the other")
 def _(context):
     play = context.play
-    for node in play.world.core:
+    for node in play.world.coordinator_names:
         play.world.kill(node)
         play.world.wipe(node)
         play.run(0.5)
@@ -324,12 +324,12 @@
 
 def cut_off(world, zone):
     """Cuts a zone's nodes off from those of the other zones."""
-    nodes = [*world.core, *sorted(world.gateways)]
+    nodes = [*world.coordinator_names, *sorted(world.gateways)]
     inside = [node for node in nodes if node.startswith(f"{zone}/")]
     for node in inside:
         for other in nodes:
             if other not in inside:
-                world.cut(node, other)
+                world.partition(node, other)
     return inside, [node for node in nodes if node not in inside]
 
 
@@ -363,11 +363,11 @@
 )
 def _(context, seconds):
     play = context.play
-    for node in play.world.core:
+    for node in play.world.coordinator_names:
         play.world.kill(node)
     end_servers(play, 3, sorted(play.world.gateways))
     play.run(seconds - 1.5)
-    for node in play.world.core:
+    for node in play.world.coordinator_names:
         play.world.start(node)
 
 
@@ -384,8 +384,8 @@
     play.world._report = watch
     play.run(3.0)
     gateway = sorted(play.world.gateways)[0]
-    submission = play.ask(gateway, b"is reset")
-    play.run(crashplay.RUN_S + 0.05)
+    submission = play.submit(gateway, b"is reset")
+    play.run(traffic_simulation.RUN_S + 0.05)
     context.head = submission.sent[0][1]
     play.reset(submission)
     context.reported.clear()
--- a/tests/steps/disk_steps.py
+++ b/tests/steps/disk_steps.py
@@ -11,7 +11,7 @@
 
 from hickorylead import errors
 from hickorylead.consensus import messages
-from hickorylead.roles import seam
+from hickorylead.roles import interface
 from hickorylead.runtime import control
 from hickorylead.settings import options, roles
 
@@ -32,7 +32,7 @@
     context.add_cleanup(keep.cleanup)
     flags = {**FLAGS, "data_folder": str(pathlib.Path(keep.name) / "data")}
     settings = options.read_settings(roles.CONTROL_OPTIONS, flags, {})
-    context.shell = control.ControlShell(settings)
+    context.shell = control.ControlProcess(settings)
     context.shell._peers = context.peers = mock.Mock()
     context.shell._peers.start = context.shell._peers.close = mock.AsyncMock()
     context.shell._folder._journal.append = mock.Mock(
@@ -75,7 +75,7 @@
 @then("it answers nothing that comes after")
 def _(context):
     ask(context)
-    context.shell.apply(seam.Tick(0.0))
+    context.shell.apply(interface.Tick(0.0))
     context.peers.send.assert_not_called()
 
 
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -64,7 +64,7 @@
 @then("callers of every zone are still served")
 def _(context):
     for vm in context.deployment.vms:
-        response = processes.ask(vm)
+        response = processes.send_chat(vm)
         assert response.status == 200, (vm, response.body)
 
 
@@ -103,7 +103,7 @@
         )
 
     wait(follows, "all follow the newest version")
-    processes.wait_for_service(deployment)
+    processes.wait_until_serving(deployment)
 
 
 @when("a zone's lease holder is frozen until another one holds the lease")
@@ -139,7 +139,7 @@
         if c["zone"] == context.zone and c["is_holder"]
     ]
     assert len(holders) <= 1 and context.frozen not in holders, holders
-    processes.wait_for_service(deployment)
+    processes.wait_until_serving(deployment)
 
 
 def submit_order(context, vm, key):
@@ -200,7 +200,7 @@
     found = {}
 
     def stream():
-        found["response"] = processes.ask(vm, body)
+        found["response"] = processes.send_chat(vm, body)
 
     caller = threading.Thread(target=stream, daemon=True)
     caller.start()
--- a/tests/steps/fault_steps.py
+++ b/tests/steps/fault_steps.py
@@ -9,10 +9,10 @@
 
 FAULT = strategies.builds(
     faults.Fault,
-    kind=strategies.sampled_from(faults.KINDS),
-    place=strategies.integers(0, 999),
-    lasts_s=strategies.sampled_from([5.0, 10.0, 30.0]),
-    wait_s=strategies.sampled_from([0.1, 1.0, 5.0, 15.0]),
+    kind=strategies.sampled_from(faults.FAULT_KINDS),
+    target_index=strategies.integers(0, 999),
+    duration_s=strategies.sampled_from([5.0, 10.0, 30.0]),
+    next_fault_delay_s=strategies.sampled_from([0.1, 1.0, 5.0, 15.0]),
 )
 
 
--- a/tests/steps/figure_steps.py
+++ b/tests/steps/figure_steps.py
@@ -5,14 +5,14 @@
 from behave import given, then, when
 
 from hickorylead import notes
-from hickorylead.telemetry import figures
+from hickorylead.telemetry import decision_metrics
 
 
 @given("a process that has counted {count:d} decisions")
 def _(context, count):
-    context.figures = figures.Figures()
+    context.figures = decision_metrics.DecisionMetrics()
     for _ in range(count):
-        context.figures.take(notes.note("replica_stalled"))
+        context.figures.count(notes.note("replica_stalled"))
 
 
 @when("its metrics are scraped")
@@ -22,7 +22,7 @@
 
 @when("it counts another decision")
 def _(context):
-    context.figures.take(notes.note("replica_stalled"))
+    context.figures.count(notes.note("replica_stalled"))
 
 
 @then("the last scrape counts {count:d} decisions and shows the present values")
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -7,18 +7,18 @@
 
 import attrs
 from behave import given, then, when
-from support import crashplay, fleetworld, planning
+from support import fleet_simulation, planning, traffic_simulation
 
 from hickorylead import notes
 from hickorylead.consensus import messages as consensus_messages
 from hickorylead.fleet import (
     events,
-    former,
+    group_builder,
     groups,
     instances,
     layout,
-    ledger,
     messages,
+    order_tracker,
     orders,
     planner,
 )
@@ -45,8 +45,8 @@
 
 @given("three coordinators with gateways")
 def _(context):
-    context.world = fleetworld.FleetWorld()
-    context.world.settle()
+    context.world = fleet_simulation.FleetSimulation()
+    context.world.bootstrap()
 
 
 # Whole configurations.
@@ -56,11 +56,11 @@
 def _(context):
     world = context.world
     context.tokens = [
-        world.replace(world.core[1], 7),
-        world.replace(world.core[2], 9),
+        world.replace(world.coordinator_names[1], 7),
+        world.replace(world.coordinator_names[2], 9),
     ]
     world.run(0.3)
-    context.tokens.append(world.replace(world.core[0], 8))
+    context.tokens.append(world.replace(world.coordinator_names[0], 8))
     world.run(1.0)
 
 
@@ -82,10 +82,12 @@
 @when("version 5 is in force and sent again with a key taken away")
 def _(context):
     world = context.world
-    acknowledge(world, world.core[0], 5)
-    revoked = fleetworld.make_document(5, workspaces=())
-    content = fleetworld.write_content(revoked)
-    world.apply(world.core[1], events.ReplaceAsked("again", 5, content))
+    acknowledge(world, world.coordinator_names[0], 5)
+    revoked = fleet_simulation.make_document(5, workspaces=())
+    content = fleet_simulation.write_content(revoked)
+    world.apply(
+        world.coordinator_names[1], events.ReplaceRequested("again", 5, content)
+    )
     world.run(1.0)
 
 
@@ -103,13 +105,13 @@
 @when("two operators send different content as version 11 at once")
 def _(context):
     world = context.world
-    for number, node in enumerate(world.core[1:]):
+    for number, node in enumerate(world.coordinator_names[1:]):
         key = (f"key{number}",)
-        workspace = fleetworld.document.Workspace("crew", key, 1)
-        found = fleetworld.make_document(11, workspaces=(workspace,))
-        content = fleetworld.write_content(found)
+        workspace = fleet_simulation.document.Workspace("crew", key, 1)
+        found = fleet_simulation.make_document(11, workspaces=(workspace,))
+        content = fleet_simulation.write_content(found)
         token = f"race{number}"
-        world.apply(node, events.ReplaceAsked(token, 11, content))
+        world.apply(node, events.ReplaceRequested(token, 11, content))
 
 
 @then("what the first acknowledgement put in force stays")
@@ -123,21 +125,21 @@
     for role in world.coordinators.values():
         assert role.voter.configuration.content == first
     for gateway in world.gateways.values():
-        found = fleetworld.read_content(first).unwrap()
+        found = fleet_simulation.read_content(first).unwrap()
         assert gateway.document == found
 
 
 @when("version 6 is acknowledged and its leader is killed")
 def _(context):
     world = context.world
-    acknowledge(world, world.core[0], 6)
+    acknowledge(world, world.coordinator_names[0], 6)
     world.kill(world.find_leader())
 
 
 @then("another coordinator acknowledges version 6 within 3 seconds")
 def _(context):
     world = context.world
-    other = next(n for n in world.core if n in world.coordinators)
+    other = next(n for n in world.coordinator_names if n in world.coordinators)
     acknowledge(world, other, 6, 3.0)
 
 
@@ -145,9 +147,9 @@
 def _(context):
     world = context.world
     context.old = world.find_leader()
-    others = [n for n in world.core if n != context.old]
+    others = [n for n in world.coordinator_names if n != context.old]
     for other in others:
-        world.cut(context.old, other)
+        world.partition(context.old, other)
     acknowledge(world, others[0], 4)
 
 
@@ -166,7 +168,7 @@
     # It has just asked its voters something when it stands still.
     world.read(old)
     world.frozen.add(old)
-    others = [n for n in world.core if n != old]
+    others = [n for n in world.coordinator_names if n != old]
     acknowledge(world, others[0], 8)
     world.run(2.0)
     # The answers of its voters were first in its buffers; the read comes
@@ -175,7 +177,7 @@
     replies = [
         event
         for event in waiting
-        if isinstance(event, fleetworld.seam.MessageArrived)
+        if isinstance(event, fleet_simulation.interface.MessageArrived)
         and isinstance(event.message, consensus_messages.AppendReply)
     ]
     assert replies
@@ -184,7 +186,7 @@
     for event in replies:
         world.apply(old, event)
     context.token = world.read(old)
-    world.thaw(old)
+    world.unfreeze(old)
     world.run_until(lambda: context.token in world.answers, 2.0)
 
 
@@ -198,12 +200,12 @@
 @when("version 9 is acknowledged, its leader wiped and all others restarted")
 def _(context):
     world = context.world
-    acknowledge(world, world.core[0], 9)
+    acknowledge(world, world.coordinator_names[0], 9)
     context.wiped = world.find_leader()
-    for node in world.core:
+    for node in world.coordinator_names:
         world.kill(node)
     world.wipe(context.wiped)
-    for node in world.core:
+    for node in world.coordinator_names:
         world.start(node)
 
 
@@ -211,9 +213,9 @@
 def _(context):
     world = context.world
     context.wiped = ""
-    for node in world.core:
+    for node in world.coordinator_names:
         world.kill(node)
-    for node in world.core:
+    for node in world.coordinator_names:
         world.start(node)
 
 
@@ -223,7 +225,9 @@
     tokens = []
 
     def is_read():
-        tokens.extend(world.read(n) for n in world.core if n != context.wiped)
+        tokens.extend(
+            world.read(n) for n in world.coordinator_names if n != context.wiped
+        )
         found = [world.answers.get(t) for t in tokens]
         assert set(found) <= {version, None}, found
         return version in found
@@ -241,13 +245,13 @@
 @when("a coordinator is replaced by an empty one with another name")
 def _(context):
     world = context.world
-    gone = next(n for n in world.core if n != world.find_leader())
+    gone = next(n for n in world.coordinator_names if n != world.find_leader())
     world.kill(gone)
     zone = nodes.get_zone(gone)
-    new = nodes.name_node(zone, "core-new", nodes.COORDINATOR)
-    world.disks[new] = fleetworld.Disk("new")
+    new = nodes.make_node_name(zone, "core-new", nodes.COORDINATOR)
+    world.disks[new] = fleet_simulation.Disk("new")
     world.start(new)
-    context.expected = {n for n in (*world.core, new) if n != gone}
+    context.expected = {n for n in (*world.coordinator_names, new) if n != gone}
 
 
 @then("the voters are the three that live within 20 seconds")
@@ -276,20 +280,20 @@
 @when("a gateway starts while its zone's coordinator is behind")
 def _(context):
     world = context.world
-    behind = world.core[0]
+    behind = world.coordinator_names[0]
     zone = nodes.get_zone(behind)
-    for other in world.core[1:]:
-        world.cut(behind, other)
+    for other in world.coordinator_names[1:]:
+        world.partition(behind, other)
     world.run(3.0)
-    acknowledge(world, world.core[1], 12)
-    node = nodes.name_node(zone, "front9", nodes.GATEWAY)
-    for other in world.core[1:]:
-        world.cut(node, other)
+    acknowledge(world, world.coordinator_names[1], 12)
+    node = nodes.make_node_name(zone, "front9", nodes.GATEWAY)
+    for other in world.coordinator_names[1:]:
+        world.partition(node, other)
     world.start_gateway(node)
     # What is near answers first, the others half a second later.
     world.run(0.5)
-    for other in world.core[1:]:
-        world.cuts.discard(frozenset((node, other)))
+    for other in world.coordinator_names[1:]:
+        world.partitions.discard(frozenset((node, other)))
     context.gateway = world.gateways[node]
 
 
@@ -326,11 +330,13 @@
     world.crash(member.name)
     world.run(0.2)
     gateway = next(iter(world.gateways))
-    for node in world.core:
+    for node in world.coordinator_names:
         hello = messages.GatewayHello(
             gateway, 1, 1, 0, is_home=False, stalled=(head.name,)
         )
-        world.apply(node, fleetworld.seam.MessageArrived(gateway, hello, 0.0))
+        world.apply(
+            node, fleet_simulation.interface.MessageArrived(gateway, hello, 0.0)
+        )
 
 
 @when("a member of a group dies and its head names it in a refusal")
@@ -341,12 +347,12 @@
     world.crash(member.name)
     world.run(0.2)
     node = min(world.gateways)
-    refusal = model.Head(503, not_run=True, faulty_server=member.name)
-    play = crashplay.CrashPlay(world)
+    refusal = model.ResponseHead(503, not_run=True, faulty_server=member.name)
+    play = traffic_simulation.TrafficSimulation(world)
     for number in range(20):
-        submission = play.ask(node, b"%d" % number)
+        submission = play.submit(node, b"%d" % number)
         if submission.sent and submission.sent[-1][1] == head.name:
-            play.refuse(submission, refusal)
+            play.refuse_submission(submission, refusal)
             break
     else:
         raise AssertionError("no request reached the head")
@@ -362,15 +368,16 @@
 def _(context):
     world = context.world
     _, context.head = pick_member(world)
-    for node in world.core:
-        world.cut(node, context.head.name)
+    for node in world.coordinator_names:
+        world.partition(node, context.head.name)
     gateway = next(iter(world.gateways))
     flow = messages.HeadFlow(context.head.name, 20)
     for _ in range(50):
-        for node in world.core:
+        for node in world.coordinator_names:
             hello = messages.GatewayHello(gateway, 1, 1, 0, flowing=(flow,))
             world.apply(
-                node, fleetworld.seam.MessageArrived(gateway, hello, 0.0)
+                node,
+                fleet_simulation.interface.MessageArrived(gateway, hello, 0.0),
             )
         world.run(0.1)
 
@@ -386,7 +393,7 @@
     world = context.world
     member, context.head = pick_member(world)
     member.phase = instances.PHASE_DRAINING
-    world._tell(member)
+    world.send_heartbeat(member)
 
 
 @then("no gateway offers its group after {limit:g} seconds")
@@ -401,7 +408,7 @@
 def _(context):
     world = context.world
     context.before = len(world.list_open())
-    world.kill(world.core[0])
+    world.kill(world.coordinator_names[0])
     world.run(2.0)
     member, _ = pick_member(world, zone="z1")
     world.crash(member.name)
@@ -411,8 +418,8 @@
 def _(context):
     world = context.world
     context.before = len(world.list_open())
-    world.kill(world.core[0])
-    world.start(world.core[0])
+    world.kill(world.coordinator_names[0])
+    world.start(world.coordinator_names[0])
     world.run(4.0)
     member, _ = pick_member(world, zone="z1")
     world.crash(member.name)
@@ -423,10 +430,10 @@
     world = context.world
     context.heads = {s.name for s in world.list_open()}
     gateways = list(world.gateways)
-    for node in (*world.core, *gateways):
+    for node in (*world.coordinator_names, *gateways):
         world.kill(node)
     world.run(1.5)
-    for node in world.core:
+    for node in world.coordinator_names:
         world.start(node)
     for node in gateways:
         world.start_gateway(node)
@@ -457,7 +464,7 @@
         isinstance(note, notes.Note)
         and note.event == "order_given"
         and note.fields["order"] == "join"
-        and not note.fields["group"].startswith(former.WARM_UP_PREFIX)
+        and not note.fields["group"].startswith(group_builder.WARM_UP_PREFIX)
         for at, _, note in world.notes
         if at > world.now - 5.0
     )
@@ -467,13 +474,13 @@
 def _(context):
     world = context.world
     old, _ = pick_member(world)
-    late = attrs.evolve(old.tell(), sequence=old.sequence + 1)
+    late = attrs.evolve(old.make_heartbeat(), sequence=old.sequence + 1)
     world.crash(old.name)
     world.run(4.0)
     new = world.add_server("newcomer", "z2")
     new.address = old.address
     world.run(1.0)
-    world.apply(world.core[2], events.HeartbeatArrived(late))
+    world.apply(world.coordinator_names[2], events.HeartbeatArrived(late))
     world.run(1.0)
     context.old = old.name
 
@@ -490,43 +497,43 @@
 
 @then("{count:d} random schedules of two planners break no promise")
 def _(context, count):
-    opened = planning.explore(0, count)
+    opened = planning.run_schedules(0, count)
     assert opened > count / 2, opened
 
 
 @then("{count:d} random schedules with rebirths break no promise")
 def _(context, count):
-    opened = planning.explore(0, count, rebirths=True)
+    opened = planning.run_schedules(0, count, rebirths=True)
     assert opened > count, opened
 
 
 @then("the schedule {seed:d} with rebirths breaks no promise")
 def _(_, seed):
-    planning.explore(seed, 1, rebirths=True)
+    planning.run_schedules(seed, 1, rebirths=True)
 
 
 def shows_broken_promise():
     """Says whether the first schedules break a promise."""
     try:
-        planning.explore(0, 120)
-    except planning.BrokenPromise:
+        planning.run_schedules(0, 120)
+    except planning.InvariantViolation:
         return True
     return False
 
 
 @then("the schedules show a broken promise if joins name no number")
 def _(context):
-    close = ledger.Ledger.close
+    close = order_tracker.OrderTracker.end_round
 
     def forget(self):
         return [
             attrs.evolve(effect, expected=None)
-            if isinstance(effect, orders.Give)
+            if isinstance(effect, orders.SendOrder)
             else effect
             for effect in close(self)
         ]
 
-    with mock.patch.object(ledger.Ledger, "close", forget):
+    with mock.patch.object(order_tracker.OrderTracker, "end_round", forget):
         assert shows_broken_promise()
 
 
@@ -539,10 +546,14 @@
 @given("a domain of {alive:d} servers in which {scarce} is scarce")
 def _(context, alive, scarce):
     models = (
-        fleetworld.document.ModelFigures("large", 4, 0.67, 1.0, 16.0, 1.6),
-        fleetworld.document.ModelFigures("small", 2, 0.33, 0.6, 12.0, 1.1),
+        fleet_simulation.document.ModelProfile(
+            "large", 4, 0.67, 1.0, 16.0, 1.6
+        ),
+        fleet_simulation.document.ModelProfile(
+            "small", 2, 0.33, 0.6, 12.0, 1.1
+        ),
     )
-    engine = attrs.evolve(fleetworld.ENGINE, models=models)
+    engine = attrs.evolve(fleet_simulation.ENGINE, models=models)
     supply = {m.name: 0.4 if m.name == scarce else 1.0 for m in models}
     context.layout = layout.choose_layout(
         engine, alive=alive, serving={}, supply=supply, spare_share=0.25
@@ -558,11 +569,15 @@
 @given("a domain with 3 servers warm with large, 1 warm with small, 2 empty")
 def _(context):
     models = (
-        fleetworld.document.ModelFigures("large", 4, 0.67, 1.0, 16.0, 1.6),
-        fleetworld.document.ModelFigures("small", 2, 0.33, 0.6, 12.0, 1.1),
+        fleet_simulation.document.ModelProfile(
+            "large", 4, 0.67, 1.0, 16.0, 1.6
+        ),
+        fleet_simulation.document.ModelProfile(
+            "small", 2, 0.33, 0.6, 12.0, 1.1
+        ),
     )
-    engine = attrs.evolve(fleetworld.ENGINE, models=models)
-    context.service = fleetworld.document.Service("model", engine=engine)
+    engine = attrs.evolve(fleet_simulation.ENGINE, models=models)
+    context.service = fleet_simulation.document.Service("model", engine=engine)
 
     def make(name, last_model, staged):
         return instances.Instance(
@@ -601,7 +616,9 @@
 
 @then("a group of the large model is formed at once")
 def _(context):
-    subject = planner.Planner(number=1, policy=former.Policy(), life="a1")
+    subject = planner.Planner(
+        number=1, policy=group_builder.StandbyPolicy(), start_id="a1"
+    )
     given = subject.plan(
         present=context.present,
         services=[context.service],
@@ -614,7 +631,7 @@
     joins = [
         g.name
         for g in given
-        if isinstance(g, orders.Give) and isinstance(g.order, orders.Join)
+        if isinstance(g, orders.SendOrder) and isinstance(g.order, orders.Join)
     ]
     assert sorted(joins) == ["l0", "l1", "l2", "s0"], given
 
@@ -633,13 +650,15 @@
     return [
         g.order
         for g in given
-        if isinstance(g, orders.Give) and isinstance(g.order, orders.Join)
+        if isinstance(g, orders.SendOrder) and isinstance(g.order, orders.Join)
     ]
 
 
 @given("a planner that formed a group, lost it and restarted")
 def _(context):
-    service = fleetworld.document.Service("model", engine=fleetworld.ENGINE)
+    service = fleet_simulation.document.Service(
+        "model", engine=fleet_simulation.ENGINE
+    )
     context.joins = []
     for life in ("a1", "b2"):
         # All servers are other lives by the time of the second round.
@@ -649,7 +668,9 @@
             )
             for n in range(2)
         ]
-        subject = planner.Planner(number=5, policy=former.Policy(), life=life)
+        subject = planner.Planner(
+            number=5, policy=group_builder.StandbyPolicy(), start_id=life
+        )
         context.joins.append(plan_once(subject, present, service)[0])
 
 
@@ -664,7 +685,7 @@
 def _(context):
     world = context.world
     member, _ = pick_member(world)
-    role = world.coordinators[world.core[1]]
+    role = world.coordinators[world.coordinator_names[1]]
     known = role.registry.instances[member.name]
     changed = attrs.evolve(
         known,
@@ -672,16 +693,18 @@
         member=instances.Membership(),
     )
     alive = messages.Alive(
-        world.core[0],
+        world.coordinator_names[0],
         (member.name,),
         (known.sequence + 2,),
         (known.sequence + 1,),
     )
-    news = messages.InstanceNews(world.core[0], (changed,))
+    news = messages.InstanceNews(world.coordinator_names[0], (changed,))
     for message in (alive, news):
         world.apply(
-            world.core[1],
-            fleetworld.seam.MessageArrived(world.core[0], message, 0.0),
+            world.coordinator_names[1],
+            fleet_simulation.interface.MessageArrived(
+                world.coordinator_names[0], message, 0.0
+            ),
         )
     context.found = role.registry.instances[member.name]
 
@@ -693,12 +716,16 @@
 
 @then("a zone with 12 empty servers starts at most 6 loads in 5 seconds")
 def _(context):
-    service = fleetworld.document.Service("model", engine=fleetworld.ENGINE)
+    service = fleet_simulation.document.Service(
+        "model", engine=fleet_simulation.ENGINE
+    )
     empty = [
         instances.Instance(f"i{n}", "model", f"a{n}:1", "z1", "d1", sequence=1)
         for n in range(12)
     ]
-    subject = planner.Planner(number=1, policy=former.Policy(), life="a1")
+    subject = planner.Planner(
+        number=1, policy=group_builder.StandbyPolicy(), start_id="a1"
+    )
     started = []
     now = 10.0
     while now < 15.0:
@@ -714,7 +741,7 @@
         started += [
             g
             for g in given
-            if isinstance(g, orders.Give)
+            if isinstance(g, orders.SendOrder)
             and isinstance(g.order, orders.Join | orders.Stage)
         ]
         now += 0.25
@@ -728,11 +755,11 @@
 @when("the home of a gateway is killed and then a member elsewhere drains")
 def _(context):
     world = context.world
-    world.kill(world.core[0])
+    world.kill(world.coordinator_names[0])
     member, context.head = pick_member(world, zone="z2")
     context.epoch = context.head.member.epoch
     member.phase = instances.PHASE_DRAINING
-    world._tell(member)
+    world.send_heartbeat(member)
 
 
 @then("no gateway offers the group with it after {limit:g} seconds")
@@ -748,9 +775,9 @@
 @when("a coordinator is cut off from the others and they acknowledge version 4")
 def _(context):
     world = context.world
-    for other in world.core[1:]:
-        world.cut(world.core[0], other)
-    acknowledge(world, world.core[1], 4)
+    for other in world.coordinator_names[1:]:
+        world.partition(world.coordinator_names[0], other)
+    acknowledge(world, world.coordinator_names[1], 4)
 
 
 @then("every gateway holds version {version:d} within {limit:g} seconds")
@@ -767,13 +794,13 @@
 
 @given("six coordinators with 24 gateways")
 def _(context):
-    context.world = fleetworld.FleetWorld(
+    context.world = fleet_simulation.FleetSimulation(
         servers_per_zone=16,
         domain_size=8,
         gateways_per_zone=8,
         coordinators_per_zone=2,
     )
-    context.world.settle()
+    context.world.bootstrap()
     context.world.run(10.0)
 
 
@@ -804,9 +831,9 @@
         Traffic(world.gateways),
         Traffic(world.gateways),
     )
-    world.watch = context.quiet.watch
+    world.on_send = context.quiet.watch
     world.run(5.0)
-    world.watch = context.busy.watch
+    world.on_send = context.busy.watch
     for _ in range(5):
         world.crash(world.list_open()[0].name)
         world.run(1.0)
@@ -843,7 +870,10 @@
     head = world.list_open()[0].name
     loads = (messages.HeadLoad(head, 3),)
     hello = messages.GatewayHello(name, 1, 1, 0, is_home=True, loads=loads)
-    world.apply(world.core[0], fleetworld.seam.MessageArrived(name, hello, 0.0))
+    world.apply(
+        world.coordinator_names[0],
+        fleet_simulation.interface.MessageArrived(name, hello, 0.0),
+    )
 
 
 @then("all six coordinators count loads within {limit:g} second, a sixth each")
@@ -858,7 +888,7 @@
 @then("the schedules 7, 621, 986 and 35024 break no promise")
 def _(_):
     for seed in (7, 621, 986, 35024):
-        planning.explore(seed, 1)
+        planning.run_schedules(seed, 1)
 
 
 @when("a coordinator is removed while it is frozen, and wakes")
@@ -866,7 +896,9 @@
     world = context.world
     leader = world.find_leader()
     zone = nodes.get_zone(leader)
-    context.victim = next(n for n in world.core if nodes.get_zone(n) != zone)
+    context.victim = next(
+        n for n in world.coordinator_names if nodes.get_zone(n) != zone
+    )
     role = world.coordinators[context.victim]
     for other in world.coordinators.values():
         # Two disks may be lost at once: five voters always stay.
@@ -879,7 +911,7 @@
     assert role.voter.member not in voters, voters
     # What waited for it is lost: its connections were reset meanwhile.
     world.buffers.pop(context.victim, None)
-    world.thaw(context.victim)
+    world.unfreeze(context.victim)
 
 
 @then("it votes again and holds the newest version within {limit:g} seconds")
@@ -908,9 +940,9 @@
 @when("a gateway starts and the first answers but one are lost")
 def _(context):
     world = context.world
-    context.node = nodes.name_node("z1", "front99", nodes.GATEWAY)
-    for other in world.core[1:]:
-        world.cut(context.node, other)
+    context.node = nodes.make_node_name("z1", "front99", nodes.GATEWAY)
+    for other in world.coordinator_names[1:]:
+        world.partition(context.node, other)
     world.start_gateway(context.node)
     world.run(0.1)
     world.heal()
@@ -928,13 +960,13 @@
 @when("a home is cut off for 3 seconds and then a member elsewhere drains")
 def _(context):
     world = context.world
-    for other in world.core[1:]:
-        world.cut(world.core[0], other)
+    for other in world.coordinator_names[1:]:
+        world.partition(world.coordinator_names[0], other)
     world.run(3.0)
     member, context.head = pick_member(world, zone="z2")
     context.epoch = context.head.member.epoch
-    for node in (world.core[0],):
+    for node in (world.coordinator_names[0],):
         # Its heartbeats reach the others only.
-        world.cut(node, member.name)
+        world.partition(node, member.name)
     member.phase = instances.PHASE_DRAINING
-    world._tell(member)
+    world.send_heartbeat(member)
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -7,7 +7,7 @@
 
 import attrs
 from behave import given, then, when
-from support import fleetworld, forwardplay
+from support import fleet_simulation, forwarder_harness
 
 from hickorylead.admission import budget
 from hickorylead.configuration import document
@@ -23,56 +23,58 @@
 
 @given("a gateway with {count:d} plain replicas")
 def _(context, count):
-    context.play = forwardplay.Play(plain=count)
+    context.play = forwarder_harness.ForwarderHarness(plain=count)
 
 
 @given("a gateway with {count:d} model replicas")
 def _(context, count):
-    context.play = forwardplay.Play(models=count)
+    context.play = forwarder_harness.ForwarderHarness(models=count)
 
 
 @when("a non-idempotent call is reset")
 def _(context):
     play = context.play
-    context.name = play.ask("alerts")
-    play.give(events.Failed(context.name, 1, Verdict.MAY_HAVE_RUN, "reset"))
-    play.run(0.2)
+    context.name = play.send_request("alerts")
+    play.deliver(
+        events.AttemptFailed(context.name, 1, Verdict.MAY_HAVE_RUN, "reset")
+    )
+    play.advance(0.2)
 
 
 @then("it was sent once and ends with status {status:d}")
 def _(context, status):
-    assert len(context.play.list_sent(context.name)) == 1
+    assert len(context.play.list_attempts(context.name)) == 1
     assert_refused(context, status)
 
 
 def assert_refused(context, status):
     """Asserts the status of our own answer; returns it with its time."""
-    found = context.play.list_of(context.name, events.Refuse)
+    found = context.play.list_effects(context.name, events.Refuse)
     assert len(found) == 1, found
     assert found[0][1].status == status, found
     return found[0]
 
 
-REFUSED = model.Head(503, not_run=True)
+REFUSED = model.ResponseHead(503, not_run=True)
 
 
 @when("a non-idempotent call is refused as not run and then answered")
 def _(context):
     play = context.play
-    context.name = play.ask("alerts")
-    play.begin(context.name, REFUSED)
-    play.answer(context.name)
+    context.name = play.send_request("alerts")
+    play.send_head(context.name, REFUSED)
+    play.respond(context.name)
 
 
 @then("it was sent twice to different replicas and ends with status 200")
 def _(context):
     play = context.play
-    if not play.list_of(context.name, events.Finish):
-        play.answer(context.name)
+    if not play.list_effects(context.name, events.FinishResponse):
+        play.respond(context.name)
     assert_two_replicas(context)
-    found = play.list_of(context.name, events.Start)
+    found = play.list_effects(context.name, events.StartResponse)
     assert [e.status for _, e in found] == [200], found
-    assert play.list_of(context.name, events.Finish)
+    assert play.list_effects(context.name, events.FinishResponse)
 
 
 @then("it was sent twice to different replicas")
@@ -82,17 +84,19 @@
 
 def assert_two_replicas(context):
     """Asserts two tries at two replicas."""
-    names = [sent.replica.name for sent in context.play.list_sent(context.name)]
+    names = [
+        sent.replica.name for sent in context.play.list_attempts(context.name)
+    ]
     assert len(names) == len(set(names)) == 2, names
 
 
 @when("a non-idempotent call is refused by every replica")
 def _(context):
     play = context.play
-    context.name = play.ask("alerts")
-    play.begin(context.name, REFUSED)
-    play.begin(context.name, REFUSED)
-    play.run(0.2)
+    context.name = play.send_request("alerts")
+    play.send_head(context.name, REFUSED)
+    play.send_head(context.name, REFUSED)
+    play.advance(0.2)
 
 
 @then("it ends with status 503 and a time to come back")
@@ -104,15 +108,15 @@
 @when("{count:d} non-idempotent calls come at once")
 def _(context, count):
     play = context.play
-    context.names = [play.ask("alerts") for _ in range(count)]
-    play.run(0.2)
+    context.names = [play.send_request("alerts") for _ in range(count)]
+    play.advance(0.2)
 
 
 @then("their times to come back spread over {spread:g} seconds or more")
 def _(context, spread):
     play = context.play
     times = [
-        play.list_of(name, events.Refuse)[0][1].retry_after_s
+        play.list_effects(name, events.Refuse)[0][1].retry_after_s
         for name in context.names
     ]
     assert max(times) - min(times) >= spread, (min(times), max(times))
@@ -122,44 +126,51 @@
 @when("an idempotent call gets the answer to another request")
 def _(context):
     play = context.play
-    context.name = play.ask("notices")
-    play.begin(
-        context.name, attrs.evolve(forwardplay.OK, echo="someone else's")
+    context.name = play.send_request("notices")
+    play.send_head(
+        context.name,
+        attrs.evolve(forwarder_harness.OK, echoed_attempt_id="someone else's"),
     )
 
 
 @when("an idempotent call gets a success that no replica signed")
 def _(context):
     play = context.play
-    context.name = play.ask("notices")
-    echo = play.list_sent()[-1].request.terms.attempt_id
-    play.begin(context.name, model.Head(200, echo=echo))
+    context.name = play.send_request("notices")
+    echo = play.list_attempts()[-1].request.metadata.attempt_id
+    play.send_head(
+        context.name, model.ResponseHead(200, echoed_attempt_id=echo)
+    )
 
 
 @when("an idempotent call is not answered for {seconds:g} seconds")
 def _(context, seconds):
-    context.name = context.play.ask("notices")
-    context.play.run(seconds)
+    context.name = context.play.send_request("notices")
+    context.play.advance(seconds)
 
 
 @when("a stream breaks in event 4 and goes on elsewhere from event 2")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1, 2, 3], attempt=attempt)
-    play.give(events.PieceCame(name, attempt, b"id: 4\ndata: wo"))
-    play.give(events.Failed(name, attempt, Verdict.MAY_HAVE_RUN, "reset"))
-    assert play.list_sent(name)[-1].last_event == 3
-    attempt = play.begin(name)
+    play.deliver(events.ChunkArrived(name, attempt, b"id: 4\ndata: wo"))
+    play.deliver(
+        events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
+    )
+    assert play.list_attempts(name)[-1].last_event_id == 3
+    attempt = play.send_head(name)
     play.send_events(name, [2, 3, 4, 5, 6], attempt=attempt)
-    play.give(events.Ended(name, attempt))
+    play.deliver(events.ResponseCompleted(name, attempt))
 
 
 @then("its caller got events 1 to {last:d} once and a whole answer")
 def _(context, last):
     assert_events(context, last)
-    assert len(context.play.list_of(context.name, events.Finish)) == 1
+    assert (
+        len(context.play.list_effects(context.name, events.FinishResponse)) == 1
+    )
 
 
 @then("its caller got events 1 to {last:d} once")
@@ -169,51 +180,57 @@
 
 def assert_events(context, last):
     """Asserts that the caller got each event once, in order."""
-    found = context.play.list_of(context.name, events.Emit)
+    found = context.play.list_effects(context.name, events.WriteChunk)
     data = b"".join(e.data for _, e in found)
-    assert data == b"".join(map(forwardplay.write_event, range(1, last + 1))), (
-        data
-    )
+    assert data == b"".join(
+        map(forwarder_harness.write_event, range(1, last + 1))
+    ), data
 
 
 @when("a stream skips from event 2 to event 4")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1, 2, 4, 5], attempt=attempt)
 
 
 @when("a stream breaks twice after event 2")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1, 2], attempt=attempt)
     for _ in range(2):
-        attempt = play.list_sent(name)[-1].attempt
-        play.give(events.Failed(name, attempt, Verdict.MAY_HAVE_RUN, "reset"))
+        attempt = play.list_attempts(name)[-1].attempt
+        play.deliver(
+            events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
+        )
 
 
 @when("a stream breaks after event 2 and the next replica answers {status:d}")
 def _(context, status):
     play = context.play
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1, 2], attempt=attempt)
-    play.give(events.Failed(name, attempt, Verdict.MAY_HAVE_RUN, "reset"))
-    head = model.Head(status, echo=f"try-{name}", is_sealed=True)
-    attempt = play.begin(name, head)
-    play.give(events.PieceCame(name, attempt, b"it failed"))
-    play.give(events.Ended(name, attempt))
+    play.deliver(
+        events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
+    )
+    head = model.ResponseHead(
+        status, echoed_attempt_id=f"try-{name}", is_signed=True
+    )
+    attempt = play.send_head(name, head)
+    play.deliver(events.ChunkArrived(name, attempt, b"it failed"))
+    play.deliver(events.ResponseCompleted(name, attempt))
 
 
 @then("the answer ends so that it does not look whole")
 def _(context):
     play = context.play
-    assert play.list_of(context.name, events.Break)
-    assert not play.list_of(context.name, events.Finish)
-    assert not play.list_of(context.name, events.Refuse)
+    assert play.list_effects(context.name, events.AbortResponse)
+    assert not play.list_effects(context.name, events.FinishResponse)
+    assert not play.list_effects(context.name, events.Refuse)
 
 
 @when("a replica with {count:d} streams gives nothing any more")
@@ -221,40 +238,42 @@
     play = context.play
     context.names = []
     while len(context.names) < count:
-        name = play.ask("drafts", body=b"%d" % play.count)
-        sent = play.list_sent(name)[-1]
-        if sent.replica.name != play.list_sent()[0].replica.name:
-            play.give(events.CallerLeft(name))
+        name = play.send_request("drafts", body=b"%d" % play.request_count)
+        sent = play.list_attempts(name)[-1]
+        if sent.replica.name != play.list_attempts()[0].replica.name:
+            play.deliver(events.CallerDisconnected(name))
             continue
-        attempt = play.begin(name)
+        attempt = play.send_head(name)
         play.send_events(name, [1], attempt=attempt)
         context.names.append(name)
-    context.stopped = play.list_sent()[0].replica.name
+    context.stopped = play.list_attempts()[0].replica.name
     context.stopped_at = play.now
 
 
 @when("a connection to a replica times out")
 def _(context):
     play = context.play
-    name = play.ask("drafts")
-    context.stopped = play.list_sent(name)[-1].replica.name
-    play.give(events.Failed(name, 1, Verdict.NOT_RUN, model.CONNECT_TIMEOUT))
-    replicas = [sent.replica.name for sent in play.list_sent(name)]
+    name = play.send_request("drafts")
+    context.stopped = play.list_attempts(name)[-1].replica.name
+    play.deliver(
+        events.AttemptFailed(name, 1, Verdict.NOT_RUN, model.CONNECT_TIMEOUT)
+    )
+    replicas = [sent.replica.name for sent in play.list_attempts(name)]
     assert len(set(replicas)) == 2, replicas
 
 
 @then("other gateways are told of it")
 def _(context):
     play = context.play
-    assert context.stopped in play.book.list_stalled(play.now)
+    assert context.stopped in play.health.list_stalled(play.now)
 
 
 @then("within {seconds:g} seconds all go on elsewhere")
 def _(context, seconds):
     play = context.play
-    play.run(seconds)
+    play.advance(seconds)
     for name in context.names:
-        replicas = [sent.replica.name for sent in play.list_sent(name)]
+        replicas = [sent.replica.name for sent in play.list_attempts(name)]
         assert replicas[0] == context.stopped
         assert len(replicas) == 2 and replicas[1] != context.stopped, replicas
 
@@ -262,152 +281,158 @@
 @then("new requests avoid that replica")
 def _(context):
     for _ in range(10):
-        name = context.play.ask("drafts")
-        sent = context.play.list_sent(name)[-1]
+        name = context.play.send_request("drafts")
+        sent = context.play.list_attempts(name)[-1]
         assert sent.replica.name != context.stopped
 
 
 @then("within {seconds:g} seconds no answer has ended")
 def _(context, seconds):
     play = context.play
-    play.run(seconds)
+    play.advance(seconds)
     for name in context.names:
-        assert not play.list_of(name, events.Break | events.Cancel)
+        assert not play.list_effects(
+            name, events.AbortResponse | events.CancelAttempt
+        )
 
 
 @when("a stream pauses for {pause:g} seconds after a prompt of 6000 tokens")
 def _(context, pause):
     play = context.play
-    play.ask("drafts", prompt=6000)
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    play.send_request("drafts", prompt=6000)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1], attempt=attempt)
-    play.run(pause)
+    play.advance(pause)
     play.send_events(name, [2], attempt=attempt)
 
 
 @then("it was sent once")
 def _(context):
-    assert len(context.play.list_sent(context.name)) == 1
+    assert len(context.play.list_attempts(context.name)) == 1
 
 
 @given("other gateways have {count:d} requests at each replica")
 def _(context, count):
     play = context.play
-    for replica in play.subject._chooser._view.list_replicas("model", "large"):
-        play.book.get(replica).others = count
+    for replica in play.forwarder._chooser._view.list_replicas(
+        "model", "large"
+    ):
+        play.health.get(replica).other_gateway_requests = count
 
 
 @when("a stream waits {seconds:g} second for its first event")
 @when("a stream waits {seconds:g} seconds for its first event")
 def _(context, seconds):
-    context.name = context.play.ask("drafts")
-    context.play.run(seconds)
+    context.name = context.play.send_request("drafts")
+    context.play.advance(seconds)
 
 
 @then("it was never taken from its replica")
 def _(context):
     play = context.play
-    assert len(play.list_sent(context.name)) == 1
-    assert not play.list_of(context.name, events.Cancel)
+    assert len(play.list_attempts(context.name)) == 1
+    assert not play.list_effects(context.name, events.CancelAttempt)
 
 
 @then("it was sent again to another replica")
 def _(context):
-    assert len(context.play.list_sent(context.name)) == 2
+    assert len(context.play.list_attempts(context.name)) == 2
 
 
 @when("a replica was left for a stall and then gives an event")
 def _(context):
     play = context.play
-    name = play.ask("drafts")
-    context.replica = play.list_sent(name)[-1].replica
-    attempt = play.begin(name)
-    play.book.mark_stalled(context.replica, play.now)
-    assert play.book.is_stalled(context.replica, play.now)
+    name = play.send_request("drafts")
+    context.replica = play.list_attempts(name)[-1].replica
+    attempt = play.send_head(name)
+    play.health.mark_stalled(context.replica, play.now)
+    assert play.health.is_stalled(context.replica, play.now)
     play.send_events(name, [1], attempt=attempt)
 
 
 @then("it is not left alone any more")
 def _(context):
     play = context.play
-    assert not play.book.is_stalled(context.replica, play.now)
-    assert not play.book.list_stalled(play.now)
+    assert not play.health.is_stalled(context.replica, play.now)
+    assert not play.health.list_stalled(play.now)
 
 
 @when("another gateway tells of a stall at a replica that is not used here")
 def _(context):
     play = context.play
-    for effect in play.subject.take_stalls(("m1",), play.now):
+    for effect in play.forwarder.handle_reported_stalls(("m1",), play.now):
         play.effects.append((play.now, effect))
 
 
 @then("that replica is left alone here, and nobody is told of it")
 def _(context):
     play = context.play
-    replica = play.subject._chooser.find("m1")
-    assert play.book.is_stalled(replica, play.now)
-    assert not play.book.list_stalled(play.now)
+    replica = play.forwarder._chooser.find("m1")
+    assert play.health.is_stalled(replica, play.now)
+    assert not play.health.list_stalled(play.now)
 
 
 @when("another gateway tells of a stall at a replica that gave something now")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = context.name = play.send_request("drafts")
+    attempt = play.send_head(name)
     play.send_events(name, [1], attempt=attempt)
-    head = play.list_sent(name)[-1].replica.name
+    head = play.list_attempts(name)[-1].replica.name
     play.now += 0.02
-    for effect in play.subject.take_stalls((head,), play.now):
+    for effect in play.forwarder.handle_reported_stalls((head,), play.now):
         play.effects.append((play.now, effect))
 
 
 @then("its streams stay there")
 def _(context):
-    assert len(context.play.list_sent(context.name)) == 1
+    assert len(context.play.list_attempts(context.name)) == 1
 
 
 @when("{count:d} idempotent calls are all reset")
 def _(context, count):
     play = context.play
-    context.names = [play.ask("notices") for _ in range(1)]
+    context.names = [play.send_request("notices") for _ in range(1)]
     for number in range(count):
-        name = play.ask("notices", body=b"%d" % number)
+        name = play.send_request("notices", body=b"%d" % number)
         for _ in range(3):
-            if play.list_of(name, events.Refuse):
+            if play.list_effects(name, events.Refuse):
                 break
-            attempt = play.list_sent(name)[-1].attempt
-            play.give(
-                events.Failed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
+            attempt = play.list_attempts(name)[-1].attempt
+            play.deliver(
+                events.AttemptFailed(
+                    name, attempt, Verdict.MAY_HAVE_RUN, "reset"
+                )
             )
 
 
 @then("at most {most:d} were sent a second time")
 def _(context, most):
-    again = [s for s in context.play.list_sent() if s.attempt > 1]
+    again = [s for s in context.play.list_attempts() if s.attempt > 1]
     assert 0 < len(again) <= most, len(again)
 
 
 @when("a caller leaves in the middle of its stream")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    play.send_events(name, [1], attempt=play.begin(name))
-    play.give(events.CallerLeft(name))
+    name = context.name = play.send_request("drafts")
+    play.send_events(name, [1], attempt=play.send_head(name))
+    play.deliver(events.CallerDisconnected(name))
 
 
 @then("the replica's connection is closed at once")
 def _(context):
-    found = context.play.list_of(context.name, events.Cancel)
+    found = context.play.list_effects(context.name, events.CancelAttempt)
     assert [at for at, _ in found] == [context.play.now]
-    assert context.play.subject.count_open() == 0
+    assert context.play.forwarder.count_open() == 0
 
 
 @when("a non-idempotent call is not answered until its time is over")
 def _(context):
-    context.name = context.play.ask("alerts")
+    context.name = context.play.send_request("alerts")
     context.asked_at = context.play.now
-    context.play.run(1.5)
+    context.play.advance(1.5)
 
 
 @then("it ends with status 504 within 0.05 seconds after its time")
@@ -418,9 +443,9 @@
 
 @when("a non-idempotent call comes")
 def _(context):
-    context.name = context.play.ask("alerts")
+    context.name = context.play.send_request("alerts")
     context.asked_at = context.play.now
-    context.play.run(0.5)
+    context.play.advance(0.5)
 
 
 @then("it ends with status 503 within {seconds:g} seconds, never sent")
@@ -428,7 +453,7 @@
     at, refusal = assert_refused(context, 503)
     assert at - context.asked_at <= seconds, at - context.asked_at
     assert refusal.retry_after_s
-    assert not context.play.list_sent()
+    assert not context.play.list_attempts()
 
 
 # Routes and configurations.
@@ -440,7 +465,7 @@
         name,
         host,
         prefix,
-        document.Kind.IDEMPOTENT,
+        document.RouteKind.IDEMPOTENT,
         (document.Target("plain", 1.0),),
         1.0,
         0.1,
@@ -470,7 +495,7 @@
 @then('"{path}" of host "{host}" goes to {route}')
 def _(context, path, host, route):
     match context.found_routes.find(host, path, ""):
-        case routes.Found(found):
+        case routes.RouteMatch(found):
             assert found.name == route, found.name
         case routes.NoRoute():
             assert route == "none"
@@ -492,13 +517,15 @@
 @then('key "{key}" is refused')
 def _(context, key):
     assert isinstance(
-        context.found_routes.find("h", "/x", key), routes.WrongKey
+        context.found_routes.find("h", "/x", key), routes.InvalidKey
     )
 
 
 @then("no key is refused")
 def _(context):
-    assert isinstance(context.found_routes.find("h", "/x", ""), routes.WrongKey)
+    assert isinstance(
+        context.found_routes.find("h", "/x", ""), routes.InvalidKey
+    )
 
 
 @given('a route to service "old" with weight 90 and "new" with weight 10')
@@ -541,7 +568,7 @@
 @given("a configuration with {fault}")
 def _(context, fault):
     context.document = attrs.evolve(
-        fleetworld.make_document(1), **FAULTS[fault]
+        fleet_simulation.make_document(1), **FAULTS[fault]
     )
 
 
@@ -558,9 +585,9 @@
     make_budgets(context, ratio, extra)
     for shared in context.shared:
         # It has served before, and saved what it may.
-        shared.note_gateways(len(context.shared), 1.0)
+        shared.set_gateway_count(len(context.shared), 1.0)
         for _ in range(1000):
-            shared.find("model").earn()
+            shared.get_budget("model").deposit()
 
 
 @given("71 new gateways that share {ratio:g} retries and {extra:g} beyond")
@@ -570,7 +597,7 @@
 
 def make_budgets(context, ratio, extra):
     limits = budget.RetryLimits(ratio, extra)
-    context.shared = [budget.SharedBudgets(limits) for _ in range(71)]
+    context.shared = [budget.GatewayRetryBudgets(limits) for _ in range(71)]
 
 
 @when("{count:d} requests come to them unevenly and all fail")
@@ -581,10 +608,10 @@
     weights = [rng.uniform(0.5, 1.5) for _ in context.shared]
     context.retries = 0
     for shared in rng.choices(context.shared, weights, k=count):
-        found = shared.find("model")
-        found.earn()
+        found = shared.get_budget("model")
+        found.deposit()
         for _ in range(3):
-            context.retries += found.spend()
+            context.retries += found.try_withdraw()
 
 
 @then("they retry at most {most:d} times, and at least {least:d} times")
@@ -596,8 +623,8 @@
     """Returns an open request of a route with an objective of 0.3 s."""
     request = model.Request(
         request_id="r",
-        terms=model.Terms("t"),
-        route=forwardplay.ROUTES["drafts"],
+        metadata=model.RequestMetadata("t"),
+        route=forwarder_harness.ROUTES["drafts"],
         service="model",
         workspace="crew",
         method="POST",
@@ -606,7 +633,7 @@
         body=b"",
         urgency=urgency,
     )
-    return state.Open(request, 10.0, 18.0, started=started)
+    return state.PendingRequest(request, 10.0, 18.0, started=started)
 
 
 @then("a stream that goes on ranks before a newcomer")
@@ -623,56 +650,56 @@
 
 @given("the gateway has just started")
 def _(context):
-    context.play.subject._started_at = context.play.now
+    context.play.forwarder._started_at = context.play.now
 
 
 @when("a stream gives an event each {gap:g} seconds for {seconds:g} seconds")
 def _(context, gap, seconds):
     play = context.play
-    context.name = play.ask("drafts", prompt=1000)
-    attempt = play.begin(context.name)
+    context.name = play.send_request("drafts", prompt=1000)
+    attempt = play.send_head(context.name)
     for number in range(1, round(seconds / gap) + 1):
-        play.run(gap)
+        play.advance(gap)
         play.send_events(context.name, [number], attempt=attempt)
 
 
 @then("it stays with its replica")
 def _(context):
-    assert len(context.play.list_sent(context.name)) == 1
+    assert len(context.play.list_attempts(context.name)) == 1
 
 
 @then("a replica that gives nothing is still left within 1 second")
 def _(context):
-    context.play.run(1.0)
-    assert len(context.play.list_sent(context.name)) == 2
+    context.play.advance(1.0)
+    assert len(context.play.list_attempts(context.name)) == 2
 
 
 @when("a stream has given an event just now")
 def _(context):
     play = context.play
-    context.name = play.ask("drafts", prompt=1000)
-    attempt = play.begin(context.name)
+    context.name = play.send_request("drafts", prompt=1000)
+    attempt = play.send_head(context.name)
     play.send_events(context.name, [1], attempt=attempt)
 
 
 @then("nothing is due before its replica may count as stopped")
 def _(context):
     play = context.play
-    due_s = play.subject.find_next(play.now) - play.now
+    due_s = play.forwarder.find_next_wakeup(play.now) - play.now
     assert due_s > 0.08, due_s
     # A look just before finds nothing, one some passes later does.
-    play.run(due_s - 0.02)
-    assert len(play.list_sent(context.name)) == 1
-    play.run(due_s + 0.1)
-    assert len(play.list_sent(context.name)) == 2
+    play.advance(due_s - 0.02)
+    assert len(play.list_attempts(context.name)) == 1
+    play.advance(due_s + 0.1)
+    assert len(play.list_attempts(context.name)) == 2
 
 
 @then("with a request that waits for a replica something is due at once")
 def _(context):
     play = context.play
     for _ in range(60):
-        play.ask("drafts")
-    assert play.subject.find_next(play.now) <= play.now
+        play.send_request("drafts")
+    assert play.forwarder.find_next_wakeup(play.now) <= play.now
 
 
 @given(
@@ -681,7 +708,9 @@
 )
 def _(context, count, kind, limit):
     replicas = {"plain": "plain", "model": "models"}[kind]
-    context.play = forwardplay.Play(**{replicas: count}, max_connections=limit)
+    context.play = forwarder_harness.ForwarderHarness(
+        **{replicas: count}, max_connections=limit
+    )
     context.route = {"plain": "notices", "model": "drafts"}[kind]
 
 
@@ -690,11 +719,11 @@
     play = context.play
     context.max_running = collections.Counter()
     for _ in range(count):
-        play.ask(context.route)
-        play.run(seconds / count)
-        for name, seen in play.book.seen.items():
+        play.send_request(context.route)
+        play.advance(seconds / count)
+        for name, seen in play.health.stats.items():
             context.max_running[name] = max(
-                context.max_running[name], seen.running
+                context.max_running[name], seen.own_requests
             )
 
 
@@ -710,11 +739,11 @@
 
 def refuse_naming_server(play, faulty_server):
     """Sends a request and has its head refuse it, naming a server at fault."""
-    name = play.ask("drafts", body=b"%d" % play.count)
+    name = play.send_request("drafts", body=b"%d" % play.request_count)
     head = attrs.evolve(
-        REFUSED, echo=f"try-{name}", faulty_server=faulty_server
+        REFUSED, echoed_attempt_id=f"try-{name}", faulty_server=faulty_server
     )
-    play.begin(name, head)
+    play.send_head(name, head)
 
 
 @when('two requests are refused by heads that name "{server}" as at fault')
@@ -726,38 +755,45 @@
 @when("a request is refused by a head that names itself as at fault")
 def _(context):
     play = context.play
-    name = play.ask("drafts")
-    replica = play.list_sent(name)[-1].replica
-    head = attrs.evolve(REFUSED, echo=f"try-{name}", faulty_server=replica.name)
-    play.begin(name, head)
+    name = play.send_request("drafts")
+    replica = play.list_attempts(name)[-1].replica
+    head = attrs.evolve(
+        REFUSED, echoed_attempt_id=f"try-{name}", faulty_server=replica.name
+    )
+    play.send_head(name, head)
 
 
 @then('"{server}" is reported as at fault once')
 def _(context, server):
-    subject = context.play.subject
-    assert subject.take_faulty_servers() == (server,)
-    assert subject.take_faulty_servers() == ()
+    subject = context.play.forwarder
+    assert subject.pop_faulty_servers() == (server,)
+    assert subject.pop_faulty_servers() == ()
 
 
 @then("no server is reported as at fault")
 def _(context):
-    assert context.play.subject.take_faulty_servers() == ()
+    assert context.play.forwarder.pop_faulty_servers() == ()
 
 
 @when("a request is refused without a time and the next one gets a late answer")
 def _(context):
     play = context.play
-    name = play.ask("notices", body=b"1")
-    context.replica = play.list_sent(name)[-1].replica
-    play.begin(name, attrs.evolve(REFUSED, echo=f"try-{name}"))
-    play.run(0.05)
-    name = play.ask("notices", body=b"2")
-    assert play.list_sent(name), "the second request was not sent"
-    play.run(0.05)
-    play.begin(name, attrs.evolve(forwardplay.OK, echo="try-earlier"))
+    name = play.send_request("notices", body=b"1")
+    context.replica = play.list_attempts(name)[-1].replica
+    play.send_head(name, attrs.evolve(REFUSED, echoed_attempt_id=f"try-{name}"))
+    play.advance(0.05)
+    name = play.send_request("notices", body=b"2")
+    assert play.list_attempts(name), "the second request was not sent"
+    play.advance(0.05)
+    play.send_head(
+        name,
+        attrs.evolve(forwarder_harness.OK, echoed_attempt_id="try-earlier"),
+    )
 
 
 @then("the replica is still in doubt")
 def _(context):
     play = context.play
-    assert play.notices.is_doubted(context.replica, play.now, may_probe=True)
+    assert play.notices.is_likely_to_refuse(
+        context.replica, play.now, may_probe=True
+    )
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -5,33 +5,35 @@
 import tracemalloc
 
 from behave import given, then, when
-from support import forwardplay
+from support import forwarder_harness
 
-from hickorylead.crashes import contents, messages
+from hickorylead.crashes import messages, request_hash
 from hickorylead.forwarding import events, model, refusals
 from hickorylead.verdict import Verdict
 
 HOME = "z1/core1/coordinator"
 BODY = b"ends its server"
-CONTENT = contents.hash_content("crew", (b"POST", b"/x/", BODY))
+CONTENT = request_hash.hash_request("crew", (b"POST", b"/x/", BODY))
 
 
 @given("a gateway with {count:d} replicas of each kind")
 def _(context, count):
-    context.play = forwardplay.Play(plain=count, models=count)
+    context.play = forwarder_harness.ForwarderHarness(plain=count, models=count)
 
 
 def reset(play, name):
     """Resets the present try of a request."""
-    attempt = play.list_sent(name)[-1].attempt
-    play.give(events.Failed(name, attempt, Verdict.MAY_HAVE_RUN, "reset"))
+    attempt = play.list_attempts(name)[-1].attempt
+    play.deliver(
+        events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
+    )
 
 
 def list_told(play, home=HOME):
     """Returns the lost runs that a home is told now."""
     return [
         crash
-        for _, news in play.guard.tell(home, play.now)
+        for _, news in play.guard.collect_messages(home, play.now)
         for crash in news.crashes
     ]
 
@@ -41,49 +43,49 @@
 
 @when("a call that may run once is reset")
 def _(context):
-    context.name = context.play.ask("alerts")
+    context.name = context.play.send_request("alerts")
     reset(context.play, context.name)
 
 
 @when("an idempotent call is reset and then answered")
 def _(context):
-    name = context.play.ask("notices")
+    name = context.play.send_request("notices")
     reset(context.play, name)
-    context.play.answer(name)
+    context.play.respond(name)
 
 
 @when("a stream is reset after 3 events and then goes on elsewhere")
 def _(context):
     play = context.play
-    name = play.ask("drafts")
-    play.send_events(name, [1, 2, 3], attempt=play.begin(name))
+    name = play.send_request("drafts")
+    play.send_events(name, [1, 2, 3], attempt=play.send_head(name))
     reset(play, name)
-    assert len(play.list_sent(name)) == 2
+    assert len(play.list_attempts(name)) == 2
 
 
 @when("the caller of a call leaves after {seconds:g} silent seconds")
 @when("the caller of a call leaves after {seconds:g} seconds")
 def _(context, seconds):
-    name = context.play.ask("alerts")
-    context.play.run(seconds)
-    context.play.give(events.CallerLeft(name))
+    name = context.play.send_request("alerts")
+    context.play.advance(seconds)
+    context.play.deliver(events.CallerDisconnected(name))
 
 
 @when("a call that may run once is not answered in its time")
 def _(context):
-    name = context.play.ask("alerts")
-    context.play.run(1.2)
-    assert context.play.list_of(name, events.Refuse)
+    name = context.play.send_request("alerts")
+    context.play.advance(1.2)
+    assert context.play.list_effects(name, events.Refuse)
 
 
 @then("{sent:d} of {count:d} more submissions of it is sent at once")
 @then("{sent:d} of {count:d} more submissions of it are sent at once")
 def _(context, sent, count):
     play = context.play
-    route = play.list_sent()[-1].request.route.name
-    names = [play.ask(route) for _ in range(count)]
-    play.run(0.01)
-    found = [name for name in names if play.list_sent(name)]
+    route = play.list_attempts()[-1].request.route.name
+    names = [play.send_request(route) for _ in range(count)]
+    play.advance(0.01)
+    found = [name for name in names if play.list_attempts(name)]
     assert len(found) == sent, found
 
 
@@ -93,7 +95,7 @@
     found = list_told(context.play)
     assert len(found) == count, found
     for crash in found:
-        assert crash.server == context.play.list_sent()[0].replica.name
+        assert crash.server == context.play.list_attempts()[0].replica.name
         assert not crash.has_ended
 
 
@@ -103,37 +105,39 @@
 @when("a call is refused as not run by every replica")
 def _(context):
     play = context.play
-    name = play.ask("alerts")
+    name = play.send_request("alerts")
     for _ in range(3):
-        play.begin(name, model.Head(503, not_run=True))
-    play.run(0.2)
+        play.send_head(name, model.ResponseHead(503, not_run=True))
+    play.advance(0.2)
 
 
 @when("an idempotent call fails with status 500")
 def _(context):
     play = context.play
-    name = play.ask("notices")
-    echo = play.list_sent(name)[-1].request.terms.attempt_id
-    play.answer(name, model.Head(500, is_sealed=True, echo=echo))
-    assert len(play.list_sent(name)) == 2
+    name = play.send_request("notices")
+    echo = play.list_attempts(name)[-1].request.metadata.attempt_id
+    play.respond(
+        name, model.ResponseHead(500, is_signed=True, echoed_attempt_id=echo)
+    )
+    assert len(play.list_attempts(name)) == 2
 
 
 @when("a stream that gives events is left by its caller")
 def _(context):
     play = context.play
-    name = play.ask("drafts")
-    attempt = play.begin(name)
+    name = play.send_request("drafts")
+    attempt = play.send_head(name)
     for number in range(1, 10):
         play.send_events(name, [number], attempt=attempt)
-        play.run(0.1)
-    play.give(events.CallerLeft(name))
+        play.advance(0.1)
+    play.deliver(events.CallerDisconnected(name))
 
 
 @when("a call that was answered before is reset")
 def _(context):
     play = context.play
-    play.answer(play.ask("notices"))
-    reset(play, play.ask("notices"))
+    play.respond(play.send_request("notices"))
+    reset(play, play.send_request("notices"))
 
 
 # What is kept.
@@ -163,9 +167,9 @@
     tracemalloc.start()
     context.add_cleanup(tracemalloc.stop)
     for number in range(count):
-        guard.note_answered(number, context.play.now)
+        guard.record_complete_response(number, context.play.now)
     for number in range(lost):
-        guard.note_lost(10**6 + number, f"i{number}", 0, context.play.now)
+        guard.record_lost_run(10**6 + number, f"i{number}", 0, context.play.now)
 
 
 @then(
@@ -180,7 +184,7 @@
     # The newest answered ones are not blamed; what was pushed out may be.
     blamed = []
     for number in range(5000):
-        play.guard.note_lost(number, "i", 0, play.now)
+        play.guard.record_lost_run(number, "i", 0, play.now)
         blamed += list_told(play)
     assert len(blamed) == 5000 - answered, len(blamed)
 
@@ -197,13 +201,13 @@
 def block(play, seconds):
     """Has a coordinator tell of a blocked content."""
     told = messages.Block(CONTENT, int(seconds * 1000))
-    play.guard.take(messages.BlockNews(HOME, (told,)), play.now)
+    play.guard.apply_blocks(messages.BlockNews(HOME, (told,)), play.now)
 
 
 @when("an idempotent call runs, is blocked and then reset")
 def _(context):
     play = context.play
-    context.name = play.ask("notices", body=BODY)
+    context.name = play.send_request("notices", body=BODY)
     block(play, 20.0)
     reset(play, context.name)
 
@@ -211,8 +215,8 @@
 @when("a stream has 3 events, is blocked and then reset")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts", body=BODY)
-    play.send_events(name, [1, 2, 3], attempt=play.begin(name))
+    name = context.name = play.send_request("drafts", body=BODY)
+    play.send_events(name, [1, 2, 3], attempt=play.send_head(name))
     block(play, 20.0)
     reset(play, name)
 
@@ -220,10 +224,10 @@
 @when("a call waits for a replica and is blocked")
 def _(context):
     play = context.play
-    context.name = play.ask("alerts", body=BODY)
-    assert not play.list_of(context.name, events.Refuse)
+    context.name = play.send_request("alerts", body=BODY)
+    assert not play.list_effects(context.name, events.Refuse)
     block(play, 20.0)
-    play.run(0.02)
+    play.advance(0.02)
 
 
 @when("a call is blocked for {seconds:g} seconds")
@@ -234,22 +238,24 @@
 @then("it is refused until then, and sent after it")
 def _(context):
     play = context.play
-    play.run(19.9)
-    name = play.ask("alerts", body=BODY)
-    ((_, refusal),) = play.list_of(name, events.Refuse)
-    assert refusal.reason == refusals.BLOCKED
+    play.advance(19.9)
+    name = play.send_request("alerts", body=BODY)
+    ((_, refusal),) = play.list_effects(name, events.Refuse)
+    assert refusal.reason == refusals.BLOCKED_REASON
     assert refusal.status == 503
     assert abs(refusal.retry_after_s - 0.1) < 0.05, refusal
-    play.run(0.2)
-    assert play.list_sent(play.ask("alerts", body=BODY))
+    play.advance(0.2)
+    assert play.list_attempts(play.send_request("alerts", body=BODY))
 
 
 @then("the same body on another path, and another body, are sent")
 def _(context):
     play = context.play
-    assert not play.list_sent(play.ask("alerts", body=BODY))
-    assert play.list_sent(play.ask("alerts", body=BODY, target=b"/y/"))
-    assert play.list_sent(play.ask("alerts", body=b"another"))
-    other = contents.hash_content("others", (b"POST", b"/x/", BODY))
-    assert play.guard.find_block(other, play.now) is None
-    assert play.guard.find_block(CONTENT, play.now) is not None
+    assert not play.list_attempts(play.send_request("alerts", body=BODY))
+    assert play.list_attempts(
+        play.send_request("alerts", body=BODY, target=b"/y/")
+    )
+    assert play.list_attempts(play.send_request("alerts", body=b"another"))
+    other = request_hash.hash_request("others", (b"POST", b"/x/", BODY))
+    assert play.guard.get_block_remaining_s(other, play.now) is None
+    assert play.guard.get_block_remaining_s(CONTENT, play.now) is not None
--- a/tests/steps/interface_steps.py
+++ b/tests/steps/interface_steps.py
@@ -61,7 +61,7 @@
 @then("the entry still answers")
 def _(context):
     vm = context.deployment.vms[0]
-    response = processes.ask(vm)
+    response = processes.send_chat(vm)
     assert response.status == 200, response.body
     assert response.load()["usage"]["completion_tokens"] == 5
 
@@ -83,7 +83,7 @@
     url = context.deployment.vms[0].url
     assert deployment_module.call("GET", f"{url}/healthz").status == 200
     assert deployment_module.call("GET", f"{url}/readyz").status == 200
-    processes.ask(context.deployment.vms[0])
+    processes.send_chat(context.deployment.vms[0])
     deployment_module.call("POST", f"{url}/services/dispatch/x", token="bad")
     text = deployment_module.call("GET", f"{url}/metrics").body.decode()
     for name in (
@@ -138,7 +138,7 @@
 @when("a request is answered and another entry is asked to explain it")
 def _(context):
     deployment = context.deployment
-    response = processes.ask(deployment.vms[0])
+    response = processes.send_chat(deployment.vms[0])
     request_id = response.headers["request-id"]
     context.explanation = deployment.operate(
         "explain", request_id, vm=deployment.vms[-1]
@@ -164,13 +164,13 @@
     from opentelemetry.proto.collector.trace.v1 import trace_service_pb2
 
     sent = trace_service_pb2.ExportTraceServiceRequest.FromString(
-        tracer.take_batch()
+        tracer.drain_batch()
     )
     spans = sent.resource_spans[0].scope_spans[0].spans
     assert [s.name for s in spans] == ["attempt", "entry"]
     assert {s.trace_id.hex() for s in spans} == {trace}
     assert spans[0].parent_span_id == spans[1].span_id
-    assert not tracer.take_batch()
+    assert not tracer.drain_batch()
 
 
 @then("status prints a table, and with --json the same as JSON")
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from behave import then, when
-from support import operator, world as world_module
+from support import operator_actions, simulation as simulation_module
 
 from hickorylead.placement import orders
 from hickorylead.roles import nodes
 
 
 def get_holder(world, zone):
-    holders = operator.list_holders(world, zone)
+    holders = operator_actions.list_lease_holders(world, zone)
     assert len(holders) == 1, holders
     return holders[0]
 
 
 def get_fence(world, node):
-    return world.roles[node].describe(world.now).fence
+    return world.roles[node].get_status(world.now).fence
 
 
 @when('the holder of "{zone}" is paused for {seconds:g} s')
@@ -32,7 +32,7 @@
     context.took_s = world.run_until(
         lambda: [
             n
-            for n in operator.list_holders(world, context.zone)
+            for n in operator_actions.list_lease_holders(world, context.zone)
             if n != context.old
         ],
         limit_s=seconds,
@@ -62,7 +62,9 @@
     world = context.world
     while world.now < context.restarted_at + seconds:
         world.run(0.1)
-        others = set(operator.list_holders(world, zone)) - {context.holder}
+        others = set(operator_actions.list_lease_holders(world, zone)) - {
+            context.holder
+        }
         assert not others, others
     world.run(6)
     get_holder(world, zone)
@@ -79,7 +81,7 @@
     world.run_until(
         lambda: any(
             get_fence(world, n) > old
-            for n in operator.list_holders(world, zone)
+            for n in operator_actions.list_lease_holders(world, zone)
         ),
         limit_s=seconds,
     )
@@ -121,14 +123,16 @@
 def _(context, limit, count):
     worst = 0.0
     for seed in range(count):
-        world = world_module.World(seed=seed, zones=("a",))
-        world.run_until(lambda w=world: operator.list_holders(w, "a"))
+        world = simulation_module.Simulation(seed=seed, zones=("a",))
+        world.run_until(
+            lambda w=world: operator_actions.list_lease_holders(w, "a")
+        )
         world.run(5)
         old = get_holder(world, "a")
         world.pause(old, 100)
         took_s = world.run_until(
             lambda w=world, o=old: [
-                n for n in operator.list_holders(w, "a") if n != o
+                n for n in operator_actions.list_lease_holders(w, "a") if n != o
             ],
             limit_s=limit,
         )
@@ -156,7 +160,7 @@
         service="assistant",
         weights="lead@1",
     )
-    world.after(9, lambda: world._order(holder, late))
+    world.call_later(9, lambda: world._order(holder, late))
     world.kill(holder)
     world.run(9.5)
     assert world.servers[context.vm].state.group == "assistant/late"
--- a/tests/steps/ledger_steps.py
+++ b/tests/steps/ledger_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from hickorylead.crashes import ledger, messages
+from hickorylead.crashes import crash_history, messages
 
 CONTENT = 77
 # Ledgers measure ages against the present time only.
@@ -27,7 +27,7 @@
     tracemalloc.start()
     context.add_cleanup(tracemalloc.stop)
     context.now = NOW
-    context.ledger = ledger.Ledger()
+    context.ledger = crash_history.CrashHistory()
 
 
 @when("{count:d} servers end under a content")
@@ -128,7 +128,7 @@
         messages.Crash(n % 7, f"i{n}", 0, 100 * n, has_ended=n % 3 > 0)
         for n in range(runs)
     ]
-    context.ledgers = [ledger.Ledger() for _ in range(count)]
+    context.ledgers = [crash_history.CrashHistory() for _ in range(count)]
     for subject in context.ledgers:
         for crash in rng.sample(told, runs * 2 // 3):
             subject.take(crash, NOW)
--- a/tests/steps/life_steps.py
+++ b/tests/steps/life_steps.py
@@ -4,16 +4,16 @@
 
 import attrs
 from behave import given, then, when
-from support import fleetworld
+from support import fleet_simulation
 
 from hickorylead.fleet import (
     events,
     instances,
-    ledger,
     messages,
+    order_tracker,
     orders,
 )
-from hickorylead.roles import seam
+from hickorylead.roles import interface
 
 FORMER = 1_784_102_400_000
 PRESENT = FORMER + 30_000
@@ -42,9 +42,9 @@
 
 @given("a server that told 50 heartbeats and had a model in memory")
 def _(context):
-    context.world = fleetworld.FleetWorld()
-    context.world.settle()
-    context.node = context.world.core[0]
+    context.world = fleet_simulation.FleetSimulation()
+    context.world.bootstrap()
+    context.node = context.world.coordinator_names[0]
     for sequence in (49, 50):
         hear(context, make_warm(sequence))
 
@@ -62,8 +62,8 @@
 
 @when("then {news} of the former life comes late")
 def _(context, news):
-    world, sender = context.world, context.world.core[1]
-    arrived = fleetworld.seam.MessageArrived
+    world, sender = context.world, context.world.coordinator_names[1]
+    arrived = fleet_simulation.interface.MessageArrived
     match news:
         case "a heartbeat":
             hear(context, make_warm(51))
@@ -103,12 +103,12 @@
 
 @given("a planner that gave two orders to a server")
 def _(context):
-    context.ledger = ledger.Ledger()
+    context.ledger = order_tracker.OrderTracker()
     context.server = make_life(1, FORMER)
     for number, model in enumerate(("large", "small")):
         give(context, orders.Stage(model), 10.0 + number)
         order = orders.OrderAnswered("i1", orders.Stage(model), 202)
-        context.ledger.take_answer(order)
+        context.ledger.handle_response(order)
         context.server = attrs.evolve(
             context.server, sequence=number + 2, staged=(model,)
         )
@@ -118,9 +118,9 @@
 
 def give(context, order, now):
     """Returns the order as a planner gives it to the server."""
-    context.ledger.open({"i1": context.server}, now)
-    context.ledger.give(context.server, order)
-    found = context.ledger.close()
+    context.ledger.begin_round({"i1": context.server}, now)
+    context.ledger.issue_order(context.server, order)
+    found = context.ledger.end_round()
     assert len(found) == 1, found
     return found[0]
 
@@ -137,16 +137,18 @@
 
 @then("a report of the former life that comes late changes nothing")
 def _(context):
-    context.ledger.take_report(orders.ReportArrived("i1", 2, FORMER))
+    context.ledger.handle_report(orders.ReportArrived("i1", 2, FORMER))
     assert give(context, orders.Stage("small"), 15.0).expected == 0
 
 
 @when("it is told that it leaves, with heartbeat {number:d}")
 def _(context, number):
     leaving = attrs.evolve(make_warm(number), phase=instances.PHASE_DRAINING)
-    sender = context.world.core[1]
+    sender = context.world.coordinator_names[1]
     news = messages.InstanceNews(sender, (leaving,))
-    context.world.apply(context.node, seam.MessageArrived(sender, news, 0.0))
+    context.world.apply(
+        context.node, interface.MessageArrived(sender, news, 0.0)
+    )
 
 
 @when("its heartbeat {number:d} says that it is ready")
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 from steps import crash_steps
-from support import crashplay, fleetworld, limitfaults
+from support import fleet_simulation, limitfaults, traffic_simulation
 
 # How long faults are played, in seconds.
 FAULT_S = 20.0
@@ -48,16 +48,16 @@
     world = context.play.world
     head = min(context.play.limits)
     zone = world.servers[head].zone
-    return next(n for n in world.core if n.startswith(f"{zone}/"))
+    return next(n for n in world.coordinator_names if n.startswith(f"{zone}/"))
 
 
 @given("{count:d} gateways with {servers:d} replicas' servers and callers")
 def _(context, count, servers):
-    world = fleetworld.FleetWorld(
+    world = fleet_simulation.FleetSimulation(
         servers_per_zone=servers // 3, gateways_per_zone=count // 3
     )
-    world.settle()
-    context.play = crashplay.CrashPlay(world)
+    world.bootstrap()
+    context.play = traffic_simulation.TrafficSimulation(world)
     context.play.asked_at = {}
     send(context.play, 3.0)
 
@@ -115,10 +115,10 @@
 )
 def _(context, seconds):
     play = context.play
-    for node in play.world.core:
+    for node in play.world.coordinator_names:
         play.world.kill(node)
     play.run(seconds)
-    for node in play.world.core:
+    for node in play.world.coordinator_names:
         play.world.start(node)
 
 
@@ -128,9 +128,9 @@
     play.run(seconds)
     context.asked_from = play.world.now
     for gateway in sorted(play.world.gateways):
-        asked = play.ask(gateway, b"asked %d" % len(play.submissions))
+        asked = play.submit(gateway, b"asked %d" % len(play.submissions))
         play.asked_at[asked.name] = play.world.now
-        play.run(crashplay.STEP_S)
+        play.run(traffic_simulation.STEP_S)
     play.run(1.0)
 
 
@@ -153,7 +153,7 @@
 
 def restart_in_turn(context):
     """Starts all coordinators again, one after the other."""
-    for node in context.play.world.core:
+    for node in context.play.world.coordinator_names:
         context.play.world.kill(node)
         send(context.play, 1.0)
         context.play.world.start(node)
@@ -162,10 +162,10 @@
 
 def restart_all(context):
     """Starts all coordinators again at the same moment."""
-    for node in context.play.world.core:
+    for node in context.play.world.coordinator_names:
         context.play.world.kill(node)
     send(context.play, 0.5)
-    for node in context.play.world.core:
+    for node in context.play.world.coordinator_names:
         context.play.world.start(node)
     send(context.play, 5.0)
 
@@ -184,15 +184,15 @@
     node = find_in_charge(context)
     context.play.world.frozen.add(node)
     send(context.play, 5.0)
-    context.play.world.thaw(node)
+    context.play.world.unfreeze(node)
     send(context.play, 4.0)
 
 
 def cut_coordinators(context):
     """Cuts all coordinators from each other; gateways reach all of them."""
     world = context.play.world
-    for first in world.core:
-        others = [node for node in world.core if node != first]
+    for first in world.coordinator_names:
+        others = [node for node in world.coordinator_names if node != first]
         limitfaults.cut(world, [first], others)
     send(context.play, 10.0)
 
@@ -200,7 +200,7 @@
 def cut_zone(context):
     """Cuts the nodes of one zone off from all others."""
     world = context.play.world
-    nodes = [*world.core, *world.gateways]
+    nodes = [*world.coordinator_names, *world.gateways]
     inside = [node for node in nodes if node.startswith("z1/")]
     limitfaults.cut(world, inside, [n for n in nodes if n not in inside])
     send(context.play, 10.0)
@@ -208,11 +208,11 @@
 
 def lose_all(context):
     """Loses all coordinators."""
-    for node in context.play.world.core:
+    for node in context.play.world.coordinator_names:
         context.play.world.kill(node)
     send(context.play, FAULT_S)
     context.fault_ended_at = context.play.world.now
-    for node in context.play.world.core:
+    for node in context.play.world.coordinator_names:
         context.play.world.start(node)
 
 
@@ -287,7 +287,7 @@
 def _(context):
     refused = [s for s in list_new(context) if s.status not in (0, 200)]
     assert refused
-    route = crashplay.ROUTES["drafts"]
+    route = traffic_simulation.ROUTES["drafts"]
     for submission in refused:
         took_s = submission.ended_at - context.play.asked_at[submission.name]
         assert took_s <= 0.5 * route.objective_s, (took_s, submission)
@@ -330,7 +330,7 @@
 @then("it knows the limits as soon as it knows the servers")
 def _(context):
     limits = context.play.limits
-    assert context.started.count_limited() == len(limits)
+    assert context.started.count_rate_limited_replicas() == len(limits)
 
 
 @then("nine in ten of them within {limit_s:g} seconds")
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -4,11 +4,11 @@
 
 import attrs
 from behave import given, then, when
-from support import fleetworld
+from support import fleet_simulation
 
 from hickorylead.fleet import (
     events,
-    former,
+    group_builder,
     instances,
     loads,
     orders,
@@ -47,7 +47,9 @@
 
 @given("a store that serves 7 loads at once, shared by 3 coordinators")
 def _(context):
-    context.engine = attrs.evolve(fleetworld.ENGINE, loads_at_once=7)
+    context.engine = attrs.evolve(
+        fleet_simulation.ENGINE, max_concurrent_loads=7
+    )
 
 
 @given("each has {count:d} servers that serve and lack the other model")
@@ -76,19 +78,21 @@
                 context.took.append(now - empty.pop(name))
         for number, budget in enumerate(budgets):
             mine = len(own[number])
-            under_way = loads.UnderWay(mine, sum(map(len, own)) - mine)
-            budget.open(
-                context.engine, planners=3, under_way=under_way, now=now
+            under_way = loads.LoadsInProgress(mine, sum(map(len, own)) - mine)
+            budget.begin_round(
+                context.engine, planners=3, in_progress=under_way, now=now
             )
             for name in context.beside[number] - set(store.left):
-                wish = loads.Wish(make_server(name), "other", loads.Need.BESIDE)
-                budget.wish(wish)
+                wish = loads.LoadRequest(
+                    make_server(name), "other", loads.LoadPriority.SECONDARY
+                )
+                budget.request(wish)
             for name in empty:
                 if number == 0 and name not in store.left:
-                    wish = loads.Wish(
-                        make_server(name), "model", loads.Need.STANDBY
+                    wish = loads.LoadRequest(
+                        make_server(name), "model", loads.LoadPriority.STANDBY
                     )
-                    budget.wish(wish)
+                    budget.request(wish)
             for wish in budget.grant():
                 budget.spend(now)
                 store.left[wish.instance.name] = LOAD_S
@@ -116,28 +120,36 @@
 def count_started(context, planners, elsewhere):
     """Returns how many of 12 wanted loads a planner starts."""
     budget = loads.LoadBudget()
-    engine = attrs.evolve(context.engine, loads_per_s=10.0)
-    under_way = loads.UnderWay(0, elsewhere)
-    budget.open(engine, planners=planners, under_way=under_way, now=0.0)
+    engine = attrs.evolve(context.engine, max_load_starts_per_s=10.0)
+    under_way = loads.LoadsInProgress(0, elsewhere)
+    budget.begin_round(
+        engine, planners=planners, in_progress=under_way, now=0.0
+    )
     for number in range(12):
         server = make_server(f"i{number}")
-        budget.wish(loads.Wish(server, "large", loads.Need.STANDBY))
+        budget.request(
+            loads.LoadRequest(server, "large", loads.LoadPriority.STANDBY)
+        )
     return len(budget.grant())
 
 
 @then("loads start for the second group, the first, the standby, no other")
 def _(context):
     budget = loads.LoadBudget()
-    under_way = loads.UnderWay(0, 0)
-    budget.open(context.engine, planners=1, under_way=under_way, now=0.0)
+    under_way = loads.LoadsInProgress(0, 0)
+    budget.begin_round(
+        context.engine, planners=1, in_progress=under_way, now=0.0
+    )
     wishes = [
-        ("a", loads.Need.BESIDE, 0),
-        ("b", loads.Need.STANDBY, 0),
-        ("c", loads.Need.GROUP, 2),
-        ("d", loads.Need.GROUP, 1),
+        ("a", loads.LoadPriority.SECONDARY, 0),
+        ("b", loads.LoadPriority.STANDBY, 0),
+        ("c", loads.LoadPriority.GROUP, 2),
+        ("d", loads.LoadPriority.GROUP, 1),
     ]
     for name, need, missing in wishes:
-        budget.wish(loads.Wish(make_server(name), "large", need, missing))
+        budget.request(
+            loads.LoadRequest(make_server(name), "large", need, missing)
+        )
     names = [wish.instance.name for wish in budget.grant()]
     assert names == ["d", "c", "b"], names
 
@@ -157,7 +169,7 @@
         found += [
             (now, item)
             for item in plan_round(context.subject, [context.server], now)
-            if isinstance(item, orders.Give)
+            if isinstance(item, orders.SendOrder)
             and isinstance(item.order, orders.Stage)
         ]
         now += STEP_S
@@ -175,7 +187,7 @@
 def _(context):
     _, item = context.given[-1]
     answer = orders.OrderAnswered(item.name, item.order, 202)
-    context.subject.take_answer(answer)
+    context.subject.handle_response(answer)
     assert not play_rounds(context, 15.0, 30.0)
 
 
@@ -211,11 +223,13 @@
     ]
 
 
-def plan_round(subject, present, now, *, engine=fleetworld.ENGINE, lost=()):
+def plan_round(
+    subject, present, now, *, engine=fleet_simulation.ENGINE, lost=()
+):
     """Returns what a planner gives in one round."""
     return subject.plan(
         present=present,
-        services=[fleetworld.document.Service("model", engine=engine)],
+        services=[fleet_simulation.document.Service("model", engine=engine)],
         domains=frozenset({"d1"}),
         lost=frozenset(lost),
         planners=1,
@@ -229,7 +243,7 @@
     return {
         item.name: item.order
         for item in given
-        if isinstance(item, orders.Give) and isinstance(item.order, kind)
+        if isinstance(item, orders.SendOrder) and isinstance(item.order, kind)
     }
 
 
@@ -242,7 +256,9 @@
 
 def make_planner():
     """Returns a planner that has given no orders."""
-    return planner.Planner(number=1, policy=former.Policy(), life="a1")
+    return planner.Planner(
+        number=1, policy=group_builder.StandbyPolicy(), start_id="a1"
+    )
 
 
 @then("two more small groups are formed, and the empty ones load large")
@@ -325,7 +341,7 @@
         for name, order in list_given(given, orders.Stage).items():
             context.again[name] = context.again.get(name, 0) + 1
             answer = orders.OrderAnswered(name, order, 409)
-            context.subject.take_answer(answer)
+            context.subject.handle_response(answer)
         now += STEP_S
 
 
@@ -337,10 +353,10 @@
 
 @given("three coordinators, one of which had an empty server load")
 def _(context):
-    context.world = fleetworld.FleetWorld()
-    context.world.settle()
+    context.world = fleet_simulation.FleetSimulation()
+    context.world.bootstrap()
     context.server = make_server("i1")
-    world, node = context.world, context.world.core[0]
+    world, node = context.world, context.world.coordinator_names[0]
     world.apply(node, events.HeartbeatArrived(context.server))
     order = orders.Stage("large")
     world.apply(node, orders.OrderAnswered("i1", order, 202))
@@ -349,7 +365,7 @@
 
 @when("it restarts with what its disk holds")
 def _(context):
-    world, node = context.world, context.world.core[0]
+    world, node = context.world, context.world.coordinator_names[0]
     world.kill(node)
     world.start(node)
     world.run(0.1)
@@ -361,7 +377,7 @@
     for role in world.coordinators.values():
         assert role.registry.instances["i1"].loading == "large"
     told = attrs.evolve(context.server, sequence=9, staged=("large",))
-    world.apply(world.core[0], events.HeartbeatArrived(told))
+    world.apply(world.coordinator_names[0], events.HeartbeatArrived(told))
     world.run(0.1)
     for role in world.coordinators.values():
         assert not role.registry.instances["i1"].loading
@@ -377,7 +393,11 @@
 
 def plan_small_store(context, now, lost=()):
     """Returns the servers told to load, with a store of 3 loads at once."""
-    engine = attrs.evolve(fleetworld.ENGINE, loads_at_once=3, loads_per_s=10.0)
+    engine = attrs.evolve(
+        fleet_simulation.ENGINE,
+        max_concurrent_loads=3,
+        max_load_starts_per_s=10.0,
+    )
     given = plan_round(
         context.subject, context.present, now, engine=engine, lost=lost
     )
@@ -391,7 +411,7 @@
     for name in context.first:
         order = context.subject._ledger._pending[name].order
         answer = orders.OrderAnswered(name, order, 202)
-        context.subject.take_answer(answer)
+        context.subject.handle_response(answer)
     context.present = [
         attrs.evolve(s, loading="large" if s.name in context.first else "")
         for s in context.present
@@ -409,13 +429,15 @@
 @when("a server is wanted for a group that lacks 3 and for one that lacks 1")
 def _(context):
     context.budget = loads.LoadBudget()
-    under_way = loads.UnderWay(0, 0)
-    context.budget.open(
-        context.engine, planners=3, under_way=under_way, now=0.0
+    under_way = loads.LoadsInProgress(0, 0)
+    context.budget.begin_round(
+        context.engine, planners=3, in_progress=under_way, now=0.0
     )
     for model, missing in (("large", 3), ("small", 1), ("large", 2)):
-        wish = loads.Wish(make_server("e0"), model, loads.Need.GROUP, missing)
-        context.budget.wish(wish)
+        wish = loads.LoadRequest(
+            make_server("e0"), model, loads.LoadPriority.GROUP, missing
+        )
+        context.budget.request(wish)
 
 
 @then("it loads for the one that lacks 1")
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -70,7 +70,7 @@
     world.run(6)
     for vm, server in world.servers.items():
         if server.state.zone == zone and not server.alive:
-            world.revive_server(vm)
+            world.restart_server(vm)
     world.run(6)
     world.loss = 0.0
 
@@ -85,7 +85,7 @@
     }
     for node in world.controls:
         if nodes.get_zone(node) == zone:
-            status = world.roles[node].describe(world.now)
+            status = world.roles[node].get_status(world.now)
             assert status.members == len(present), (node, status.members)
 
 
@@ -104,7 +104,7 @@
     server.member.leave()
     server.left_at = world.now
     for step in range(40):
-        world.after(
+        world.call_later(
             step * 0.2,
             lambda n=step: context.answers.append(
                 world.submit(world.entries[n % 9], "assistant", max_tokens=20)
--- a/tests/steps/notice_book_steps.py
+++ b/tests/steps/notice_book_steps.py
@@ -5,37 +5,37 @@
 from behave import given, then, when
 
 from hickorylead.forwarding import model
-from hickorylead.notices import book, messages
+from hickorylead.notices import messages, notice_store
 
 REPLICA = model.Replica("s1", "s", "", "a:1", "z1", 8, born=1000)
-REFUSED = model.Head(503, not_run=True)
+REFUSED = model.ResponseHead(503, not_run=True)
 # From the sending of a request to its answer, in seconds.
 ROUND_S = 0.01
 
 
 def is_doubted(context, now, *, may_probe=True):
     """Says whether the server is in doubt."""
-    return context.book.is_doubted(REPLICA, now, may_probe=may_probe)
+    return context.book.is_likely_to_refuse(REPLICA, now, may_probe=may_probe)
 
 
 @given("a server that turns {count:d} requests away in a row without a time")
 def _(context, count):
-    context.book = book.NoticeBook()
+    context.book = notice_store.NoticeStore()
     context.now = 10.0
     for _ in range(count):
         context.now += ROUND_S
-        context.book.note_answer(
+        context.book.record_response(
             REPLICA, REFUSED, sent_at=context.now - ROUND_S, now=context.now
         )
 
 
 @given("a server that turns {count:d} requests away that were sent together")
 def _(context, count):
-    context.book = book.NoticeBook()
+    context.book = notice_store.NoticeStore()
     context.now = 10.0
     for number in range(count):
         context.now = 10.0 + ROUND_S + 0.001 * number
-        context.book.note_answer(
+        context.book.record_response(
             REPLICA, REFUSED, sent_at=10.0, now=context.now
         )
     context.now = 10.0 + ROUND_S
@@ -51,8 +51,11 @@
 def _(context, when):
     sent_at = context.now + (0.1 if when == "after" else -0.1)
     context.answered_at = context.now + 0.2
-    context.book.note_answer(
-        REPLICA, model.Head(200), sent_at=sent_at, now=context.answered_at
+    context.book.record_response(
+        REPLICA,
+        model.ResponseHead(200),
+        sent_at=sent_at,
+        now=context.answered_at,
     )
 
 
@@ -64,7 +67,7 @@
 @then("a further refusal puts it in doubt for {doubt:g} seconds")
 def _(context, doubt):
     now = context.answered_at + 0.1
-    context.book.note_answer(
+    context.book.record_response(
         REPLICA, REFUSED, sent_at=context.answered_at, now=now
     )
     assert is_doubted(context, now + doubt - 0.01)
@@ -73,10 +76,10 @@
 
 @given("a server that asked another gateway for {pause:g} seconds")
 def _(context, pause):
-    context.book = book.NoticeBook()
+    context.book = notice_store.NoticeStore()
     context.now = 10.0
     news = messages.Pause(REPLICA.name, REPLICA.born, round(1000 * pause))
-    context.book.take_news((news,), context.now)
+    context.book.merge_pauses((news,), context.now)
     context.ends_at = context.now + pause
 
 
@@ -84,8 +87,11 @@
 def _(context, when):
     sent_at = context.ends_at + (0.1 if when == "after" else -0.1)
     context.answered_at = context.ends_at + 0.2
-    context.book.note_answer(
-        REPLICA, model.Head(200), sent_at=sent_at, now=context.answered_at
+    context.book.record_response(
+        REPLICA,
+        model.ResponseHead(200),
+        sent_at=sent_at,
+        now=context.answered_at,
     )
 
 
@@ -97,10 +103,10 @@
 
 @given("a server that turns a request away with a pause of {pause:g} seconds")
 def _(context, pause):
-    context.book = book.NoticeBook()
+    context.book = notice_store.NoticeStore()
     context.now = 10.0
-    head = model.Head(503, not_run=True, retry_after_s=pause)
-    context.book.note_answer(
+    head = model.ResponseHead(503, not_run=True, retry_after_s=pause)
+    context.book.record_response(
         REPLICA, head, sent_at=context.now - ROUND_S, now=context.now
     )
 
@@ -116,38 +122,41 @@
         is_estimated=True,
         age_ms=age_ms,
     )
-    context.book.take_news((news,), now)
+    context.book.merge_pauses((news,), now)
     context.answered_at = now
 
 
 @given("a server that turned away requests of another gateway without a time")
 def _(context):
-    context.book = book.NoticeBook()
+    context.book = notice_store.NoticeStore()
     context.now = 10.0
     news = messages.Pause(
         REPLICA.name, REPLICA.born, 4000, is_estimated=True, age_ms=2
     )
-    context.book.take_news((news,), context.now)
+    context.book.merge_pauses((news,), context.now)
 
 
 @given("another refusal is reported {delay:g} seconds later")
 def _(context, delay):
     news = messages.Pause(REPLICA.name, REPLICA.born, 4000, is_estimated=True)
-    context.book.take_news((news,), context.now + delay)
+    context.book.merge_pauses((news,), context.now + delay)
 
 
 @given("that server then asked the other gateway for {pause:g} seconds")
 def _(context, pause):
     news = messages.Pause(REPLICA.name, REPLICA.born, round(1000 * pause))
-    context.book.take_news((news,), context.now)
+    context.book.merge_pauses((news,), context.now)
 
 
 @when("it answers a request that was sent {delay:g} seconds after the report")
 def _(context, delay):
     sent_at = context.now + delay
     context.answered_at = context.now + 0.2
-    context.book.note_answer(
-        REPLICA, model.Head(200), sent_at=sent_at, now=context.answered_at
+    context.book.record_response(
+        REPLICA,
+        model.ResponseHead(200),
+        sent_at=sent_at,
+        now=context.answered_at,
     )
 
 
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -7,19 +7,19 @@
 import attrs
 from behave import given, then, when
 from steps import limit_steps
-from support import crashplay, forwardplay, noticeplay
+from support import forwarder_harness, notice_schedules, traffic_simulation
 
 from hickorylead.fleet import instances, orders
 from hickorylead.forwarding import events, model
-from hickorylead.notices import book
+from hickorylead.notices import notice_store
 from hickorylead.verdict import Verdict
 
-PAUSED = model.Head(503, not_run=True, retry_after_s=3.0)
+PAUSED = model.ResponseHead(503, not_run=True, retry_after_s=3.0)
 
 
 @given("a fleet of {gateways:d} gateways and {servers:d} servers with callers")
 def _(context, gateways, servers):
-    context.play = noticeplay.make_play(gateways, servers)
+    context.play = notice_schedules.make_play(gateways, servers)
 
 
 @when(
@@ -28,19 +28,19 @@
 )
 def _(context, pause, seconds):
     play = context.play
-    context.heads = noticeplay.list_used(play)[:2]
+    context.heads = notice_schedules.list_used(play)[:2]
     play.pausing = dict.fromkeys(context.heads, pause)
     context.began_at = play.world.now
-    noticeplay.send(play, seconds)
+    notice_schedules.send(play, seconds)
 
 
 @then(
     "no gateway sends over {most:d} requests in a pause that it was asked for"
 )
 def _(context, most):
-    assert most == noticeplay.MOST_IN_PAUSE
+    assert most == notice_schedules.MOST_IN_PAUSE
     assert context.play.refusals
-    found = noticeplay.find_most_in_pause(context.play)
+    found = notice_schedules.find_most_in_pause(context.play)
     assert found <= most, found
 
 
@@ -53,16 +53,16 @@
     heads = {server.name for server in play.world.list_open()}
     play.pausing = dict.fromkeys(heads, pause)
     context.began_at = play.world.now
-    noticeplay.send(play, seconds)
+    notice_schedules.send(play, seconds)
 
 
 @when("two heads turn requests away and name no time, for {seconds:g} seconds")
 def _(context, seconds):
     play = context.play
-    context.heads = noticeplay.list_used(play)[:2]
+    context.heads = notice_schedules.list_used(play)[:2]
     play.pausing = dict.fromkeys(context.heads, 0.0)
     context.began_at = play.world.now
-    noticeplay.send(play, seconds)
+    notice_schedules.send(play, seconds)
 
 
 @then("no gateway sends one of them over {most:d} requests")
@@ -93,7 +93,7 @@
     "its objective"
 )
 def _(context, status):
-    objective_s = crashplay.ROUTES["drafts"].objective_s
+    objective_s = traffic_simulation.ROUTES["drafts"].objective_s
     refused = [s for s in list_new(context) if s.status not in (0, 200)]
     assert refused
     for submission in refused:
@@ -107,7 +107,7 @@
 def _(context, seconds):
     context.play.pausing.clear()
     context.ended_at = context.play.world.now
-    noticeplay.send(context.play, seconds)
+    notice_schedules.send(context.play, seconds)
 
 
 @then(
@@ -127,14 +127,14 @@
     "{which} turns requests of one gateway away and asks for {pause:g} seconds"
 )
 def _(context, which, pause):
-    turn_one_away(context, noticeplay.list_used(context.play)[:1], pause)
+    turn_one_away(context, notice_schedules.list_used(context.play)[:1], pause)
 
 
 @when(
     "all heads turn requests of one gateway away and ask for {pause:g} seconds"
 )
 def _(context, pause):
-    turn_one_away(context, noticeplay.list_used(context.play), pause)
+    turn_one_away(context, notice_schedules.list_used(context.play), pause)
 
 
 def turn_one_away(context, heads, pause):
@@ -146,13 +146,13 @@
     play.pausing = dict.fromkeys(heads, pause)
     play.turned_away = node
     while {refusal.server for refusal in play.refusals} != set(heads):
-        play.ask(node, b"asked %d" % len(play.submissions))
+        play.submit(node, b"asked %d" % len(play.submissions))
         play.run(0.05)
     play.pausing.clear()
     context.node, context.began_at = node, play.world.now
     context.ends_at = play.refusals[0].at + pause
     if pause < 10.0:
-        noticeplay.send(play, pause)
+        notice_schedules.send(play, pause)
 
 
 def list_gateways(context, since, until):
@@ -192,7 +192,7 @@
     context.asked = []
     for _ in range(count):
         body = b"asked %d" % len(context.play.submissions)
-        context.asked.append(context.play.ask(node, body))
+        context.asked.append(context.play.submit(node, body))
         context.play.run(0.05)
 
 
@@ -206,31 +206,31 @@
 def _(context):
     play = context.play
     refuse(context)
-    play.run(PAUSED.retry_after_s)
-    budget = play.subject._budgets.find("plain")
-    while budget.spend():
+    play.advance(PAUSED.retry_after_s)
+    budget = play.forwarder._budgets.get_budget("plain")
+    while budget.try_withdraw():
         pass
 
 
 @then("no call is sent to it while the others have free slots")
 def _(context):
     play = context.play
-    before = len(play.list_sent())
+    before = len(play.list_attempts())
     for _ in range(5):
-        play.answer(play.ask("notices"))
-        play.run(0.05)
-    names = [sent.replica.name for sent in play.list_sent()[before:]]
+        play.respond(play.send_request("notices"))
+        play.advance(0.05)
+    names = [sent.replica.name for sent in play.list_attempts()[before:]]
     assert len(names) == 5 and context.first not in names, names
 
 
 @then("calls are sent to it once retries are left, and then as before")
 def _(context):
     play = context.play
-    before = len(play.list_sent())
+    before = len(play.list_attempts())
     for _ in range(60):
-        play.answer(play.ask("notices"))
-        play.run(0.05)
-    names = [sent.replica.name for sent in play.list_sent()[before:]]
+        play.respond(play.send_request("notices"))
+        play.advance(0.05)
+    names = [sent.replica.name for sent in play.list_attempts()[before:]]
     assert names.count(context.first) >= 10, names
 
 
@@ -239,12 +239,12 @@
 )
 def _(context, pause, fault):
     play = context.play
-    heads = noticeplay.list_used(play)[:2]
+    heads = notice_schedules.list_used(play)[:2]
     play.pausing = dict.fromkeys(heads, pause)
-    noticeplay.send(play, 2.0)
+    notice_schedules.send(play, 2.0)
     limit_steps.FAULTS[fault](context)
     play.world.heal()
-    noticeplay.send(play, 4.0, seed=7)
+    notice_schedules.send(play, 4.0, seed=7)
 
 
 @then(
@@ -254,7 +254,7 @@
 def _(context, most):
     play = context.play
     node = min(play.world.gateways)
-    started_at = noticeplay.find_restart(play, node)
+    started_at = notice_schedules.find_restart(play, node)
     play.refusals = [
         r for r in play.refusals if r.gateway != node or r.at >= started_at
     ]
@@ -263,14 +263,14 @@
         for submission in play.submissions.values()
         if submission.gateway == node
     )
-    assert noticeplay.find_most_in_pause(play) <= most
+    assert notice_schedules.find_most_in_pause(play) <= most
 
 
 @then("random schedules {first:d} to {last:d} of faults keep pauses")
 def _(context, first, last):
     for seed in range(first, last + 1):
-        found = noticeplay.explore(seed)
-        assert found.most <= noticeplay.MOST_IN_PAUSE, (seed, found)
+        found = notice_schedules.explore(seed)
+        assert found.most <= notice_schedules.MOST_IN_PAUSE, (seed, found)
         assert not found.late, (seed, found)
 
 
@@ -280,10 +280,10 @@
 def refuse(context, head=PAUSED):
     """Has the replica of a new call turn it away."""
     play = context.play
-    name = play.ask("notices")
-    context.first = play.list_sent(name)[-1].replica.name
-    echo = play.list_sent(name)[-1].request.terms.attempt_id
-    play.begin(name, attrs.evolve(head, echo=echo))
+    name = play.send_request("notices")
+    context.first = play.list_attempts(name)[-1].replica.name
+    echo = play.list_attempts(name)[-1].request.metadata.attempt_id
+    play.send_head(name, attrs.evolve(head, echoed_attempt_id=echo))
     context.paused_at = play.now
     return name
 
@@ -293,58 +293,62 @@
     play = context.play
     name = refuse(context)
     for _ in range(2):
-        sent = play.list_sent(name)[-1]
-        failed = events.Failed(
+        sent = play.list_attempts(name)[-1]
+        failed = events.AttemptFailed(
             name, sent.attempt, Verdict.NOT_RUN, model.CONNECT_TIMEOUT
         )
-        play.give(failed)
-    assert len(play.list_sent(name)) == 3
+        play.deliver(failed)
+    assert len(play.list_attempts(name)) == 3
 
 
 @then("no call is sent to the first one for {pause:g} seconds")
 def _(context, pause):
     play = context.play
-    before = len(play.list_sent())
+    before = len(play.list_attempts())
     while play.now < context.paused_at + pause - 0.05:
-        play.ask("notices")
-        play.run(0.1)
-    names = [sent.replica.name for sent in play.list_sent()[before:]]
+        play.send_request("notices")
+        play.advance(0.1)
+    names = [sent.replica.name for sent in play.list_attempts()[before:]]
     assert context.first not in names, names
-    play.run(0.2)
-    play.ask("notices")
-    assert context.first in [s.replica.name for s in play.list_sent()[before:]]
+    play.advance(0.2)
+    play.send_request("notices")
+    assert context.first in [
+        s.replica.name for s in play.list_attempts()[before:]
+    ]
 
 
 @when("the replica asks for a pause of {pause:g} seconds and a call comes")
 def _(context, pause):
     refuse(context, attrs.evolve(PAUSED, retry_after_s=pause))
-    context.name = context.play.ask("notices")
-    assert not context.play.list_sent(context.name)
+    context.name = context.play.send_request("notices")
+    assert not context.play.list_attempts(context.name)
 
 
 @then("that call is sent when the pause is over")
 def _(context):
-    context.play.run(0.04)
-    assert len(context.play.list_sent(context.name)) == 1
+    context.play.advance(0.04)
+    assert len(context.play.list_attempts(context.name)) == 1
 
 
 @when("the replica asks for {pause:g} seconds and then for {later:g} seconds")
 def _(context, pause, later):
     play = context.play
-    second = play.ask("notices")
+    second = play.send_request("notices")
     refuse(context, attrs.evolve(PAUSED, retry_after_s=pause))
-    echo = play.list_sent(second)[-1].request.terms.attempt_id
-    head = attrs.evolve(PAUSED, retry_after_s=later, echo=echo)
-    play.begin(second, head)
+    echo = play.list_attempts(second)[-1].request.metadata.attempt_id
+    head = attrs.evolve(PAUSED, retry_after_s=later, echoed_attempt_id=echo)
+    play.send_head(second, head)
 
 
 @when("an answer to another request asks for a pause of {pause:g} seconds")
 def _(context, pause):
     play = context.play
-    name = play.ask("notices")
-    context.first = play.list_sent(name)[-1].replica.name
-    head = attrs.evolve(PAUSED, retry_after_s=pause, echo="another")
-    play.begin(name, head)
+    name = play.send_request("notices")
+    context.first = play.list_attempts(name)[-1].replica.name
+    head = attrs.evolve(
+        PAUSED, retry_after_s=pause, echoed_attempt_id="another"
+    )
+    play.send_head(name, head)
     context.paused_at = play.now
 
 
@@ -370,12 +374,12 @@
 def _(context):
     play = context.play
     begin_life(context)
-    name = play.ask("notices")
+    name = play.send_request("notices")
     begin_life(context)
     refuse(context, attrs.evolve(PAUSED, retry_after_s=0.01))
-    play.run(0.05)
-    echo = play.list_sent(name)[-1].request.terms.attempt_id
-    play.begin(name, attrs.evolve(PAUSED, echo=echo))
+    play.advance(0.05)
+    echo = play.list_attempts(name)[-1].request.metadata.attempt_id
+    play.send_head(name, attrs.evolve(PAUSED, echoed_attempt_id=echo))
 
 
 @when(
@@ -386,16 +390,18 @@
     assert pause == PAUSED.retry_after_s
     play = context.play
     begin_life(context)
-    name = play.ask("notices")
+    name = play.send_request("notices")
     begin_life(context)
     refuse(context)
-    echo = play.list_sent(name)[-1].request.terms.attempt_id
-    play.begin(name, attrs.evolve(PAUSED, retry_after_s=0.01, echo=echo))
+    echo = play.list_attempts(name)[-1].request.metadata.attempt_id
+    play.send_head(
+        name, attrs.evolve(PAUSED, retry_after_s=0.01, echoed_attempt_id=echo)
+    )
 
 
 @then("a call is sent to it at once")
 def _(context):
-    assert context.play.list_sent(context.play.ask("notices"))
+    assert context.play.list_attempts(context.play.send_request("notices"))
 
 
 @then(
@@ -403,10 +409,10 @@
     "kind"
 )
 def _(context, servers, kept):
-    context.notices = book.NoticeBook()
+    context.notices = notice_store.NoticeStore()
     for number in range(servers):
         replica = model.Replica(f"s{number}", "s", "", "a:1", "z1", 8)
-        context.notices.note_answer(replica, PAUSED, sent_at=9.9, now=10.0)
+        context.notices.record_response(replica, PAUSED, sent_at=9.9, now=10.0)
     # As many of those that it was asked for itself as of those of all.
     assert len(context.notices) == 2 * kept
 
@@ -414,7 +420,7 @@
 @then("none is left when no server is in doubt any more")
 def _(context):
     ended_at = 10.0 + PAUSED.retry_after_s
-    context.notices.forget(ended_at + book.DOUBT_S)
+    context.notices.prune(ended_at + notice_store.DOUBT_S)
     assert not len(context.notices)
 
 
@@ -424,9 +430,9 @@
 @when("a head says with its answers that it leaves, for {seconds:g} seconds")
 def _(context, seconds):
     play = context.play
-    context.head = noticeplay.list_used(play)[0]
+    context.head = notice_schedules.list_used(play)[0]
     play.leaving.add(context.head)
-    noticeplay.send(play, seconds)
+    notice_schedules.send(play, seconds)
 
 
 @then(
@@ -434,34 +440,34 @@
     "told"
 )
 def _(context, late_s):
-    assert late_s == noticeplay.DRAIN_S
+    assert late_s == notice_schedules.DRAIN_S
     assert context.play.told_leaving
-    found = noticeplay.list_late(context.play)
+    found = notice_schedules.list_late(context.play)
     assert not found, found
 
 
 @when("a head says with its answers that it leaves while {fault}")
 def _(context, fault):
     play = context.play
-    context.head = noticeplay.list_used(play)[0]
+    context.head = notice_schedules.list_used(play)[0]
     play.leaving.add(context.head)
-    noticeplay.send(play, 2.0)
+    notice_schedules.send(play, 2.0)
     limit_steps.FAULTS[fault](context)
     play.world.heal()
-    noticeplay.send(play, 4.0, seed=7)
+    notice_schedules.send(play, 4.0, seed=7)
 
 
-LEAVING = attrs.evolve(forwardplay.OK, is_leaving=True)
+LEAVING = attrs.evolve(forwarder_harness.OK, is_leaving=True)
 
 
 def leave(context):
     """Has the replica of a new call answer it and say that it leaves."""
     play = context.play
-    name = play.ask("notices")
-    sent = play.list_sent(name)[-1]
+    name = play.send_request("notices")
+    sent = play.list_attempts(name)[-1]
     context.first = sent.replica.name
-    echo = sent.request.terms.attempt_id
-    play.answer(name, attrs.evolve(LEAVING, echo=echo))
+    echo = sent.request.metadata.attempt_id
+    play.respond(name, attrs.evolve(LEAVING, echoed_attempt_id=echo))
 
 
 @when("a replica says that it leaves and is forgotten and known again")
@@ -470,7 +476,7 @@
     play = context.play
     found = play.registry.instances[context.first]
     play.registry.merge(attrs.evolve(found, silent=True), play.now)
-    assert play.registry.forget(play.now + 100.0, 60.0) == [context.first]
+    assert play.registry.prune(play.now + 100.0, 60.0) == [context.first]
     play.now += 100.0
     play.registry.merge(attrs.evolve(found, sequence=90), play.now)
 
@@ -479,10 +485,10 @@
 def _(context):
     leave(context)
     play = context.play
-    name = play.ask("notices")
-    sent = play.list_sent(name)[-1]
-    play.give(
-        events.Failed(
+    name = play.send_request("notices")
+    sent = play.list_attempts(name)[-1]
+    play.deliver(
+        events.AttemptFailed(
             name, sent.attempt, Verdict.NOT_RUN, model.CONNECT_TIMEOUT
         )
     )
@@ -491,11 +497,11 @@
 @then("no call is sent to it")
 def _(context):
     play = context.play
-    before = len(play.list_sent())
+    before = len(play.list_attempts())
     for _ in range(40):
-        play.ask("notices")
-        play.run(0.05)
-    names = [sent.replica.name for sent in play.list_sent()[before:]]
+        play.send_request("notices")
+        play.advance(0.05)
+    names = [sent.replica.name for sent in play.list_attempts()[before:]]
     assert names, "the other one is used again"
     assert context.first not in names, names
 
@@ -503,9 +509,11 @@
 @when("a replica says that it leaves at the beginning of its stream")
 def _(context):
     play = context.play
-    name = context.name = play.ask("drafts")
-    echo = play.list_sent(name)[-1].request.terms.attempt_id
-    context.attempt = play.begin(name, attrs.evolve(LEAVING, echo=echo))
+    name = context.name = play.send_request("drafts")
+    echo = play.list_attempts(name)[-1].request.metadata.attempt_id
+    context.attempt = play.send_head(
+        name, attrs.evolve(LEAVING, echoed_attempt_id=echo)
+    )
 
 
 @then("that stream ends whole")
@@ -513,18 +521,18 @@
     play, name = context.play, context.name
     for number in range(1, 30):
         play.send_events(name, [number], attempt=context.attempt)
-        play.run(0.1)
-    play.give(events.Ended(name, context.attempt))
-    assert len(play.list_sent(name)) == 1
-    assert play.list_of(name, events.Finish)
+        play.advance(0.1)
+    play.deliver(events.ResponseCompleted(name, context.attempt))
+    assert len(play.list_attempts(name)) == 1
+    assert play.list_effects(name, events.FinishResponse)
 
 
 @when("the only replica says that it leaves and a call comes")
 def _(context):
     leave(context)
     context.asked_at = context.play.now
-    context.name = context.play.ask("alerts")
-    context.play.run(0.2)
+    context.name = context.play.send_request("alerts")
+    context.play.advance(0.2)
 
 
 @then(
@@ -532,11 +540,11 @@
     "never sent"
 )
 def _(context, status, most_s):
-    found = context.play.list_of(context.name, events.Refuse)
+    found = context.play.list_effects(context.name, events.Refuse)
     assert [refusal.status for _, refusal in found] == [status], found
     at, refusal = found[0]
     assert at - context.asked_at <= most_s and refusal.retry_after_s, found
-    assert not context.play.list_sent(context.name)
+    assert not context.play.list_attempts(context.name)
 
 
 @when("the replica says that it leaves and starts again under its id")
@@ -553,7 +561,7 @@
 def _(context, late_s):
     leave(context)
     context.play.now += late_s - 1.0
-    assert not context.play.list_sent(context.play.ask("notices"))
+    assert not context.play.list_attempts(context.play.send_request("notices"))
     context.play.now += 1.5
 
 
@@ -561,13 +569,13 @@
     """Has a head answer one gateway, which is told that it leaves."""
     play = context.play
     world = play.world
-    context.head = head = noticeplay.list_used(play)[0]
+    context.head = head = notice_schedules.list_used(play)[0]
     zone = world.servers[head].zone
     context.node = min(n for n in world.gateways if n.startswith(f"{zone}/"))
     context.before = len(world.list_open())
     play.leaving.add(head)
     while (context.node, head) not in play.told_leaving:
-        play.ask(context.node, b"asked %d" % len(play.submissions))
+        play.submit(context.node, b"asked %d" % len(play.submissions))
         play.run(0.05)
     assert len({gateway for gateway, _ in play.told_leaving}) == 1
 
@@ -587,15 +595,15 @@
             tell_leave(context)
             world.kill(home)
         case "that gateway's first message is lost":
-            world.cut(node, home)
+            world.partition(node, home)
             tell_leave(context)
             context.play.run(0.3)
             world.heal()
         case "all coordinators start again":
-            for each in world.core:
+            for each in world.coordinator_names:
                 world.kill(each)
             tell_leave(context)
-            for each in world.core:
+            for each in world.coordinator_names:
                 world.start(each)
         case _:
             raise AssertionError(fault)
@@ -646,13 +654,13 @@
 )
 def _(context, pause):
     world = context.play.world
-    head = world.servers[noticeplay.list_used(context.play)[0]]
+    head = world.servers[notice_schedules.list_used(context.play)[0]]
     context.head, context.before = head.name, len(world.list_open())
-    for node in world.core:
+    for node in world.coordinator_names:
         world.apply(node, orders.NoticeArrived(head.name, head.born, pause))
     context.taken = head.accepted
     context.calls = []
-    world.watch_call = lambda node, call: context.calls.append(call)
+    world.on_call = lambda node, call: context.calls.append(call)
     world.crash(head.members[1])
 
 
@@ -668,13 +676,15 @@
 @when("a head that nobody hears turns a question of its coordinator away")
 def _(context):
     play, world = context.play, context.play.world
-    context.head = noticeplay.list_used(play)[0]
+    context.head = notice_schedules.list_used(play)[0]
     server = world.servers[context.head]
-    node = next(n for n in world.core if n.startswith(f"{server.zone}/"))
+    node = next(
+        n for n in world.coordinator_names if n.startswith(f"{server.zone}/")
+    )
     # No stream runs there any more that would show that it lives.
     play.run(2.0)
-    for other in [*world.core, *world.gateways]:
-        world.cut(other, context.head)
+    for other in [*world.coordinator_names, *world.gateways]:
+        world.partition(other, context.head)
     role = world.coordinators[node]
     found = role.registry.instances[context.head]
     assert role._supervisor._ask([found], world.now)
--- a/tests/steps/permit_steps.py
+++ b/tests/steps/permit_steps.py
@@ -8,7 +8,7 @@
 import attrs
 from behave import given, then, when
 from steps import guard_steps
-from support import forwardplay
+from support import forwarder_harness
 
 from hickorylead.forwarding import events, model
 from hickorylead.ratelimits import messages, table
@@ -20,22 +20,22 @@
 def answer(play, *, status=200, limit=None, not_run=False, echo=None):
     """Has the plain replica answer a request, without need of a permit."""
     play.now += 0.01
-    name = play.ask("alerts")
-    if not play.list_sent(name):
+    name = play.send_request("alerts")
+    if not play.list_attempts(name):
         grant(play, 1, 2.0, ask(play))
-    head = model.Head(
-        status, is_sealed=True, limit_per_s=limit, not_run=not_run
+    head = model.ResponseHead(
+        status, is_signed=True, limit_per_s=limit, not_run=not_run
     )
     echo = f"try-{name}" if echo is None else echo
-    attempt = play.begin(name, attrs.evolve(head, echo=echo))
+    attempt = play.send_head(name, attrs.evolve(head, echoed_attempt_id=echo))
     if not not_run and echo == f"try-{name}":
-        play.give(events.PieceCame(name, attempt, b"body"))
-        play.give(events.Ended(name, attempt))
+        play.deliver(events.ChunkArrived(name, attempt, b"body"))
+        play.deliver(events.ResponseCompleted(name, attempt))
 
 
 def ask(play):
     """Returns the request for permits that the home gets now; None if none."""
-    sent = [m for _, m in play.permits.tell(HOME, play.now)]
+    sent = [m for _, m in play.permits.collect_messages(HOME, play.now)]
     found = [m for m in sent if isinstance(m, messages.PermitRequest)]
     return found[-1] if found else None
 
@@ -51,8 +51,8 @@
             ),
         ),
     )
-    if play.permits.take_reply(reply, play.now):
-        for effect in play.subject.try_waiting(play.now):
+    if play.permits.handle_reply(reply, play.now):
+        for effect in play.forwarder.dispatch_waiting(play.now):
             play.effects.append((play.now, effect))
 
 
@@ -64,7 +64,7 @@
 
 @given("a gateway with 1 replica of each kind")
 def _(context):
-    context.play = forwardplay.Play(plain=1, models=1)
+    context.play = forwarder_harness.ForwarderHarness(plain=1, models=1)
 
 
 @when("the plain replica names a limit of {limit:g} a second")
@@ -74,7 +74,7 @@
 
 @when("a call comes that may run once")
 def _(context):
-    context.name = context.play.ask("alerts")
+    context.name = context.play.send_request("alerts")
     context.request = ask(context.play)
 
 
@@ -125,13 +125,13 @@
     if when.startswith("for a former life"):
         number += 7
     else:
-        play.run(float(when.split()[0]))
+        play.advance(float(when.split()[0]))
     grant(play, count, lease_s, request, number=number)
 
 
 @then("the call is not sent")
 def _(context):
-    assert not context.play.list_sent(context.name)
+    assert not context.play.list_attempts(context.name)
 
 
 @then("the gateway asks its home for {count:d} permit that a request needs")
@@ -144,14 +144,14 @@
 @then("with the permit the call is sent at once")
 def _(context):
     grant(context.play, 1, 2.0, context.request)
-    assert context.play.list_sent(context.name)
+    assert context.play.list_attempts(context.name)
 
 
 @then(
     "the call is refused as not run, to come back in about {seconds:g} seconds"
 )
 def _(context, seconds):
-    ((at, refused),) = context.play.list_of(context.name, events.Refuse)
+    ((at, refused),) = context.play.list_effects(context.name, events.Refuse)
     assert at == context.play.now and refused.status == 503, refused
     assert 0.6 * seconds <= refused.retry_after_s <= 1.4 * seconds, refused
 
@@ -170,7 +170,7 @@
     replica = model.Replica(SERVER, "plain", "", "p0:1", "z1", 6)
     held = 0
     while play.permits.may_send(replica, play.now):
-        play.permits.spend(replica, play.now)
+        play.permits.consume_permit(replica, play.now)
         held += 1
     assert held == count, held
 
@@ -218,7 +218,7 @@
     before, _ = tracemalloc.get_traced_memory()
     for number in range(count):
         limit = messages.RateLimit(f"s{number}", 0, 2.0, True, 0, 0)
-        play.permits.take_news([limit], play.now)
+        play.permits.merge_limits([limit], play.now)
         play.now += 0.001
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -234,7 +234,7 @@
 @then("{seconds:g} seconds later it keeps none")
 def _(context, seconds):
     context.play.now += seconds
-    context.play.permits.forget(context.play.now)
+    context.play.permits.prune(context.play.now)
     assert not len(context.play.permits.table)
 
 
@@ -244,8 +244,8 @@
     context.began = play.now
     context.names = []
     while play.now < context.began + seconds:
-        context.names.append(play.ask("alerts"))
-        play.run(0.1, each=lambda: ask(play))
+        context.names.append(play.send_request("alerts"))
+        play.advance(0.1, each=lambda: ask(play))
 
 
 @then("it sends {least:d} to {most:d} of them, from {late_s:g} seconds on")
@@ -254,7 +254,7 @@
     times = [
         at
         for at, effect in play.effects
-        if isinstance(effect, events.Open)
+        if isinstance(effect, events.StartAttempt)
         and effect.request.request_id in context.names
     ]
     assert least <= len(times) <= most, times
