--- a/tests/steps/placement_steps.py
+++ b/tests/steps/placement_steps.py
@@ -3,7 +3,11 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from support import checkers, operator, world as world_module
+from support import (
+    invariants,
+    operator_actions,
+    simulation as simulation_module,
+)
 
 from hickorylead.configuration import changes, model
 from hickorylead.membership import announcements
@@ -85,7 +89,7 @@
     own = [n for n in world.entries if nodes.get_zone(n) == zone]
     context.answers = []
     for second in range(seconds):
-        world.after(
+        world.call_later(
             second,
             lambda s=second: context.answers.append(
                 world.submit(own[s % len(own)], "assistant")
@@ -123,14 +127,16 @@
 @when('requests run and the preset "maintenance" is switched to')
 def _(context):
     world = context.world
-    operator.apply(world, changes.ApplyPreset(model.Preset("maintenance", ())))
+    operator_actions.apply(
+        world, changes.ApplyPreset(model.Preset("maintenance", ()))
+    )
     context.answers = [
         world.submit(node, "assistant", max_tokens=200)
         for node in world.entries
         for _ in range(3)
     ]
     world.run(1)
-    operator.apply(world, changes.SwitchPreset("maintenance"))
+    operator_actions.apply(world, changes.SwitchPreset("maintenance"))
 
 
 @then("no replica serves and every VM is free")
@@ -150,12 +156,14 @@
     def watch():
         for zone in world.zones:
             own = [n for n in world.entries if nodes.get_zone(n) == zone]
-            if not any(operator.count_replicas(world, n, zone) for n in own):
+            if not any(
+                operator_actions.count_replicas(world, n, zone) for n in own
+            ):
                 context.gaps.append((world.now, zone))
-        world.after(0.2, watch)
+        world.call_later(0.2, watch)
 
     watch()
-    operator.apply(
+    operator_actions.apply(
         world,
         changes.ApplyService(
             model.Service(
@@ -186,22 +194,26 @@
 
 def start_two_ranks(context, policy, *, engines, urgent, ordinary):
     """Starts one zone with an urgent service and one of a lower rank."""
-    world = context.world = world_module.World(policy=policy, zones=("a",))
-    world.checkers = list(checkers.ALL)
+    world = context.world = simulation_module.Simulation(
+        policy=policy, zones=("a",)
+    )
+    world.checkers = list(invariants.ALL)
     world.group_size = 2
     world.add_engines("a", engines, domain_size=engines)
-    operator.found_cluster(world)
+    operator_actions.bootstrap_cluster(world)
     for name, rank in (("ordinary", 5), ("urgent", 0)):
         service = model.Service(
             name, model="m", version="1", group_size=2, rank=rank
         )
-        operator.apply(world, changes.ApplyService(service))
+        operator_actions.apply(world, changes.ApplyService(service))
     shares = (
         model.Share("ordinary", "a", ordinary),
         model.Share("urgent", "a", urgent),
     )
-    operator.apply(world, changes.ApplyPreset(model.Preset("p", shares)))
-    operator.apply(world, changes.SwitchPreset("p"))
+    operator_actions.apply(
+        world, changes.ApplyPreset(model.Preset("p", shares))
+    )
+    operator_actions.apply(world, changes.SwitchPreset("p"))
     return world
 
 
@@ -226,7 +238,9 @@
 def _(context, size):
     world = context.world
     service = model.Service("big", model="m", version="1", group_size=size)
-    context.change = operator.submit(world, changes.ApplyService(service))
+    context.change = operator_actions.submit(
+        world, changes.ApplyService(service)
+    )
     world.run_until(lambda: context.change in world.outcomes)
 
 
@@ -242,7 +256,7 @@
     policy = planner.Policy(spares=0, hold_broken_s=2)
     world = start_two_ranks(context, policy, engines=6, urgent=1, ordinary=2)
     world.run_until(
-        lambda: operator.count_replicas(world, world.entries[0]) == 3
+        lambda: operator_actions.count_replicas(world, world.entries[0]) == 3
     )
 
 
@@ -308,11 +322,11 @@
         world.start(node)
     for vm, server in world.servers.items():
         if server.state.zone == zone and not server.is_plain:
-            world.revive_server(vm)
+            world.restart_server(vm)
     left = [n for n in world.entries if nodes.get_zone(n) != zone]
     context.answers = []
     for step in range(seconds * 5):
-        world.after(
+        world.call_later(
             step / 5,
             lambda s=step: context.answers.append(
                 world.submit(left[s % len(left)], "assistant", max_tokens=40)
@@ -329,7 +343,7 @@
     codes = {a.code for a in context.answers if a.verdict != Verdict.RAN}
     assert not codes, codes
     attempts = [
-        len([s for s in trail.steps if s.what == "attempt"])
+        len([s for s in trail.steps if s.code == "attempt"])
         for a in context.answers
         if (
             trail := world.roles[a.entry].dispatcher.trails.get(
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -9,14 +9,14 @@
 
 from behave import then
 import orjson
-from support import platformday
+from support import platform_cluster
 
 from hickorylead import notes
 from hickorylead.crashes import messages as crash_messages
 from hickorylead.fleet import instances, orders
 from hickorylead.platform import documents
 from hickorylead.runtime import clock, coordinator
-from hickorylead.storage import memo
+from hickorylead.storage import saved_value
 from hickorylead.telemetry import decisions
 from hickorylead_standins import platform
 
@@ -33,10 +33,10 @@
 
     shell._folder.persist = refuse
     shell._open_folder = refuse
-    body = orjson.dumps(platformday.make_configuration(8))
+    body = orjson.dumps(platform_cluster.make_configuration(8))
     async with asyncio.timeout(10):
         # A call that is not decided ends by itself after 0.9 s.
-        while await day.replace(body, 1) != 200:
+        while await day.replace_configuration(body, 1) != 200:
             pass
     await day.wait_for(lambda: shell._disk_failed_at is not None)
     # It still hears backend servers, and says nothing that it can't know.
@@ -53,7 +53,7 @@
         },
     )
     assert status == 200, status
-    answer = await platform.ask(
+    answer = await platform.send_raw(
         day.controls[0],
         b"GET /config/read HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
     )
@@ -67,7 +67,7 @@
 
 @then("a coordinator with a full disk stops voting and comes back")
 def _(context):
-    asyncio.run(platformday.play(fill_disk))
+    asyncio.run(platform_cluster.run_session(fill_disk))
 
 
 def take_configuration(shell):
@@ -86,7 +86,7 @@
     """Calls a gateway that has lost its configuration, and gives it back."""
     shell = day.gateway
     routes = take_configuration(shell)
-    early = asyncio.ensure_future(day.call("/alerts/1", b"tree"))
+    early = asyncio.ensure_future(day.send_request("/alerts/1", b"tree"))
     await day.wait_for(lambda: shell.waiting_to_start == 1)
     assert not early.done()
     shell.role.routes = routes
@@ -98,19 +98,19 @@
 async def call_early_in_haste(day):
     """Calls a gateway without a configuration with little time left."""
     take_configuration(day.gateway)
-    answer = await day.call("/alerts/1", b"tree", Time_Budget="60")
+    answer = await day.send_request("/alerts/1", b"tree", Time_Budget="60")
     assert answer.startswith(b"HTTP/1.1 503"), answer[:60]
     assert b"retry-after: " in answer, answer
 
 
 @then("a request to a gateway that has no configuration yet is answered by it")
 def _(context):
-    asyncio.run(platformday.play(call_early))
+    asyncio.run(platform_cluster.run_session(call_early))
 
 
 @then("one whose time is short is told when to come back")
 def _(context):
-    asyncio.run(platformday.play(call_early_in_haste))
+    asyncio.run(platform_cluster.run_session(call_early_in_haste))
 
 
 async def stop_gateway(day):
@@ -119,22 +119,24 @@
         server.manner.events = 80
     before = day.count_received()
     stream = asyncio.ensure_future(
-        day.call("/drafts/x", b"", Model=platformday.MODEL, Token_Count="5,9")
+        day.send_request(
+            "/drafts/x", b"", Model=platform_cluster.MODEL, Token_Count="5,9"
+        )
     )
     await day.wait_for(
         lambda: any(len(s.received) > before[s.name] for s in day.servers)
     )
     day.gateway._stop.set()
-    ready_address = f"127.0.7.9:{platformday.READY_PORT}"
+    ready_address = f"127.0.7.9:{platform_cluster.READY_PORT}"
 
     async def is_unready():
-        answer = await platform.ask(ready_address, READINESS)
+        answer = await platform.send_raw(ready_address, READINESS)
         return answer.startswith(b"HTTP/1.1 503")
 
     async with asyncio.timeout(1.0):
         while not await is_unready():
             await asyncio.sleep(0.01)
-    newcomer = await day.call("/alerts/1", b"late")
+    newcomer = await day.send_request("/alerts/1", b"late")
     assert newcomer.startswith(b"HTTP/1.1 200"), newcomer[:40]
     answer = await stream
     assert answer.endswith(b"0\r\n\r\n"), answer[-60:]
@@ -143,7 +145,7 @@
 
 @then("a gateway that is stopped in a stream ends it whole")
 def _(context):
-    asyncio.run(platformday.play(stop_gateway))
+    asyncio.run(platform_cluster.run_session(stop_gateway))
 
 
 @then("{count:d} lines into a pipe that nobody reads are written or counted")
@@ -182,16 +184,17 @@
 
 async def send_half_head(day):
     """Sends half a head and waits for the end of the connection."""
-    day.gateway._limits.header_s = 0.3
+    day.gateway._limits.header_timeout_s = 0.3
     answer = await asyncio.wait_for(
-        platform.ask(day.caller_address, b"POST /alerts/1 HTTP/1.1\r\nHo"), 5
+        platform.send_raw(day.caller_address, b"POST /alerts/1 HTTP/1.1\r\nHo"),
+        5,
     )
     assert answer.startswith(b"HTTP/1.1 408"), answer
 
 
 @then("half a head is answered with status 408 after the time limit")
 def _(context):
-    asyncio.run(platformday.play(send_half_head))
+    asyncio.run(platform_cluster.run_session(send_half_head))
 
 
 @then(
@@ -205,10 +208,10 @@
         for server in day.servers:
             server.manner.limit_per_s = 0.1
         for number in range(count):
-            answer = await day.call(f"/alerts/{number}", b"tree")
+            answer = await day.send_request(f"/alerts/{number}", b"tree")
             context.answers.append(answer)
 
-    asyncio.run(platformday.play(call_limited))
+    asyncio.run(platform_cluster.run_session(call_limited))
     found = [a.startswith(b"HTTP/1.1 200") for a in context.answers]
     assert sum(found) == served, context.answers
 
@@ -234,12 +237,12 @@
             server.manner.retry_after_s = 30
         before = day.count_received()
         for number in range(count):
-            answer = await day.call(f"/alerts/{number}", b"tree")
+            answer = await day.send_request(f"/alerts/{number}", b"tree")
             context.answers.append(answer)
         got = {s.name: len(s.received) - before[s.name] for s in day.servers}
         assert sorted(got.values())[-2:] == [most, most], got
 
-    asyncio.run(platformday.play(call_pausing))
+    asyncio.run(platform_cluster.run_session(call_pausing))
 
 
 @then("the others are told when to come back, as paused")
@@ -255,7 +258,7 @@
     server.manner.is_leaving = True
     before = day.count_received()[server.name]
     for number in range(10):
-        answer = await day.call(f"/alerts/{number}", b"tree")
+        answer = await day.send_request(f"/alerts/{number}", b"tree")
         assert answer.startswith(b"HTTP/1.1 200"), answer
     assert len(server.received) - before <= 1, server.received
     if len(server.received) > before:
@@ -272,7 +275,7 @@
 
 @then("of 10 calls in a row to two servers one that leaves gets 1 at most")
 def _(context):
-    asyncio.run(platformday.play(call_leaving))
+    asyncio.run(platform_cluster.run_session(call_leaving))
 
 
 @then("a server that says so in the answer to an order is taken for draining")
@@ -283,11 +286,11 @@
         shell = day.coordinators[0]
         # An order that changes nothing: its group has another name.
         order = orders.Leave("no-group", 0)
-        give = orders.Give(server.name, server._address, order)
+        give = orders.SendOrder(server.name, server._address, order)
         await shell._post(give)
         await day.wait_for(lambda: is_draining(day, server.name))
 
-    asyncio.run(platformday.play(order_leaving))
+    asyncio.run(platform_cluster.run_session(order_leaving))
 
 
 async def restart_blocking(day):
@@ -298,10 +301,10 @@
         for n in range(3)
     )
     news = crash_messages.CrashNews("z1/front1/gateway", crashes)
-    shell.role.crashes.take(news, (), clock.read_boottime())
+    shell.role.crashes.merge(news, (), clock.read_boottime())
     folder = pathlib.Path(shell.settings.data_folder)
-    await day.wait_for(lambda: memo.Memo(folder, "crashes").value)
-    follower = coordinator.CoordinatorShell(
+    await day.wait_for(lambda: saved_value.SavedValue(folder, "crashes").value)
+    follower = coordinator.CoordinatorProcess(
         shell.settings,
         dialect=shell._dialect,
         read_document=documents.read_packed,
@@ -314,4 +317,4 @@
 
 @then("a content that was blocked before a coordinator starts again still is")
 def _(context):
-    asyncio.run(platformday.play(restart_blocking))
+    asyncio.run(platform_cluster.run_session(restart_blocking))
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -14,7 +14,7 @@
 from behave import given, then, when
 import orjson
 from returns import result
-from support import forwardplay, platformday
+from support import forwarder_harness, platform_cluster
 
 from hickorylead import errors
 from hickorylead.forwarding import events, model
@@ -26,7 +26,9 @@
 
 @then('the platform session "{name}" is as recorded')
 def _(context, name):
-    found = asyncio.run(platformday.play(platformday.SESSIONS[name]))
+    found = asyncio.run(
+        platform_cluster.run_session(platform_cluster.SESSIONS[name])
+    )
     file = GOLDEN / f"{name}.txt"
     if context.config.userdata.get("golden") == "write":
         file.write_text(found, encoding="utf-8")
@@ -103,7 +105,7 @@
 
 @given("a platform configuration with {change}")
 def _(context, change):
-    body = platformday.make_configuration(4)
+    body = platform_cluster.make_configuration(4)
     route = body["Routes"][0]
     match change:
         case "a text as version":
@@ -189,7 +191,7 @@
     found = servers.read_heartbeat("i-1", orjson.dumps(heartbeat)).unwrap()
     assert found.born == context.born
     report = orjson.dumps({"Sequence": 2, "born": context.born})
-    found = servers.Servers().read_report(report)
+    found = servers.PlatformServerCodec().decode_report(report)
     assert (found.accepted, found.born) == (2, context.born)
     last = orjson.dumps({"born": context.born})
     assert servers.read_born(last).unwrap() == context.born
@@ -214,22 +216,22 @@
 
 def write_head(sent):
     """Returns the lines of a request as a replica gets it."""
-    dialect = headers.Headers()
+    dialect = headers.PlatformHeaderCodec()
     request = model.Request(
         request_id="r1",
-        terms=dialect.read_terms(sent),
-        route=forwardplay.ROUTES["alerts"],
+        metadata=dialect.decode_metadata(sent),
+        route=forwarder_harness.ROUTES["alerts"],
         service="plain",
         workspace="crew",
         method="POST",
         target=b"/alerts/1",
-        headers=dialect.list_headers(sent, "crew"),
+        headers=dialect.list_forwarded_headers(sent, "crew"),
         body=b"",
         urgency=1,
     )
     replica = model.Replica("i-1", "plain", "", "a:1", "z1", 6)
-    opened = events.Open(request, 1, replica, 0.5, 0, rank=4)
-    return dialect.write_head(opened).decode().lower().split("\r\n")
+    opened = events.StartAttempt(request, 1, replica, 0.5, 0, rank=4)
+    return dialect.encode_request_head(opened).decode().lower().split("\r\n")
 
 
 @given("a platform request with a forged workspace")
@@ -337,16 +339,16 @@
         self.done = asyncio.get_running_loop().create_future()
         self.body = b""
 
-    def take_head(self, status, found):
+    def on_headers(self, status, found):
         self.status = status
 
-    def take_piece(self, data):
+    def on_body_chunk(self, data):
         self.body += data
 
-    def take_end(self):
+    def on_complete(self):
         self.done.set_result("whole")
 
-    def take_failure(self, verdict, reason):
+    def on_failure(self, verdict, reason):
         self.done.set_result(verdict.value)
 
 
@@ -359,7 +361,9 @@
         if number:
             await asyncio.sleep(pause_s)
         watcher = Watcher()
-        pool.start(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", watcher)
+        pool.send_request(
+            address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", watcher
+        )
         async with asyncio.timeout(5):
             ends.append(await watcher.done)
         await asyncio.sleep(0)
@@ -431,12 +435,16 @@
 @given('a replica\'s answer that names the limit "{text}"')
 def _(context, text):
     given_headers = [(b"server-limit", text.encode())]
-    context.head = headers.Headers().read_head(200, given_headers)
+    context.head = headers.PlatformHeaderCodec().decode_response_head(
+        200, given_headers
+    )
 
 
 @given('a replica\'s answer that names the limit ""')
 def _(context):
-    context.head = headers.Headers().read_head(200, [(b"server-limit", b"")])
+    context.head = headers.PlatformHeaderCodec().decode_response_head(
+        200, [(b"server-limit", b"")]
+    )
 
 
 @then("its limit is {limit}")
@@ -455,7 +463,9 @@
         (b"retry-after", pause.encode()),
         (b"server-leaving", leaving.encode()),
     ]
-    context.head = headers.Headers().read_head(status, given_headers)
+    context.head = headers.PlatformHeaderCodec().decode_response_head(
+        status, given_headers
+    )
 
 
 @given(
@@ -463,7 +473,9 @@
 )
 def _(context, status, name):
     given_headers = [(b"at-server", name.encode())]
-    context.head = headers.Headers().read_head(status, given_headers)
+    context.head = headers.PlatformHeaderCodec().decode_response_head(
+        status, given_headers
+    )
 
 
 @then('the server at fault is ""')
@@ -494,4 +506,4 @@
 
 @then('it names the unreadable header "{name}"')
 def _(context, name):
-    assert context.head.unreadable == (name,), context.head
+    assert context.head.malformed_headers == (name,), context.head
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -5,11 +5,11 @@
 import collections
 
 from behave import given, then, when
-from support import operator
+from support import operator_actions
 
 from hickorylead.admission import queue
 from hickorylead.requests import events, model
-from hickorylead.roles import seam
+from hickorylead.roles import interface
 from hickorylead.verdict import Verdict
 
 
@@ -89,7 +89,7 @@
     late = events.FrameArrived("former.1", request_id, 5, 1, "late")
     foreign = events.FrameArrived(attempt_id, other, 3, 1, "foreign")
     for frame in (double, double, late, foreign):
-        world.give(node, frame)
+        world.deliver(node, frame)
 
 
 @when("the server of a call that may run once dies during the call")
@@ -115,7 +115,7 @@
         node = world.entries[count % len(world.entries)]
         context.answers.append(world.submit(node, "assistant", max_tokens=20))
         if count < 1500:
-            world.after(0.02, send)
+            world.call_later(0.02, send)
 
     send()
     world.run(5)
@@ -135,7 +135,7 @@
         context.world.roles[a.entry].dispatcher.trails.get(a.request.request_id)
         for a in context.answers
     ]
-    steps = [s.what for t in trails if t for s in t.steps]
+    steps = [s.code for t in trails if t for s in t.steps]
     extra = steps.count("attempt") - len(context.answers)
     context.extra = extra
     assert 0 < extra <= share * len(context.answers) / 100, (extra, attempts)
@@ -145,7 +145,7 @@
 def _(context):
     start_streams(context)
     context.node = context.world.entries[0]
-    context.world.give(context.node, seam.StopAsked())
+    context.world.deliver(context.node, interface.StopRequested())
 
 
 @when("a request is sent to the stopping entry")
@@ -158,7 +158,7 @@
 def _(context):
     assert context.late.verdict == Verdict.NOT_RUN
     assert context.late.code == "entry_stopping"
-    assert context.late.final.problem.retry_after_s is not None
+    assert context.late.final_effect.problem.retry_after_s is not None
 
 
 @then("the entry has stopped")
@@ -174,7 +174,7 @@
     world = context.world
     context.answers = []
     for number in range(count):
-        world.after(
+        world.call_later(
             number / count,
             lambda: context.answers.append(
                 world.submit(world.entries[0], "assistant", deadline_s=deadline)
@@ -187,10 +187,10 @@
     refused = [a for a in context.answers if a.code]
     assert refused, "nothing was refused"
     for answer in refused:
-        waited_s = answer.ended_at - answer.asked_at
+        waited_s = answer.ended_at - answer.submitted_at
         assert waited_s <= answer.request.deadline_s + 0.2, waited_s
         assert answer.verdict == Verdict.NOT_RUN, answer.code
-    at_once = [a for a in refused if a.ended_at - a.asked_at < 0.01]
+    at_once = [a for a in refused if a.ended_at - a.submitted_at < 0.01]
     assert len(at_once) >= len(refused) / 2, (len(at_once), len(refused))
 
 
@@ -198,7 +198,7 @@
 def _(context):
     for answer in context.answers:
         if answer.code:
-            assert answer.final.problem.retry_after_s >= 1
+            assert answer.final_effect.problem.retry_after_s >= 1
 
 
 def make_request(number, *, urgency=3, workspace="w"):
@@ -254,13 +254,17 @@
     world.run(1)
     assert answer.text
     context.request_id = answer.request.request_id
-    world.give(world.entries[0], events.CallerLeft(context.request_id))
+    world.deliver(
+        world.entries[0], events.CallerDisconnected(context.request_id)
+    )
 
 
 @then("no server works on its request")
 def _(context):
     assert not any(s.batch.running for s in context.world.servers.values())
-    assert operator.count_replicas(context.world, context.world.entries[0])
+    assert operator_actions.count_replicas(
+        context.world, context.world.entries[0]
+    )
 
 
 def run_traffic(context, seconds):
@@ -271,7 +275,7 @@
     before = [len(server.runs) for server in pair]
     for step in range(int(seconds * 4)):
         node = own[step % len(own)]
-        world.after(
+        world.call_later(
             step / 4, lambda n=node: world.submit(n, "assistant", max_tokens=15)
         )
     world.run(seconds)
@@ -320,7 +324,7 @@
 def submit_deadly(context, number=0):
     """Submits a request that ends each server which runs it to an entry."""
     world = context.world
-    world.deadly.add(DEADLY)
+    world.crashing_bodies.add(DEADLY)
     context.last = world.submit(
         world.entries[number], "assistant", max_tokens=20, body=DEADLY
     )
@@ -357,8 +361,8 @@
         submit_deadly(context, world.entries.index(node))
         before = count_ended(world)
         world.run_until(lambda known=before: count_ended(world) > known)
-        left = events.CallerLeft(context.last.request.request_id)
-        world.give(node, left)
+        left = events.CallerDisconnected(context.last.request.request_id)
+        world.deliver(node, left)
         world.run(5.0)
         assert count_ended(world) == before + 1
 
@@ -383,7 +387,7 @@
     for number, node in enumerate(world.entries):
         submit_deadly(context, number)
         world.run(0.5)
-        final = context.last.final
+        final = context.last.final_effect
         assert isinstance(final, events.Refuse), (node, final)
         assert final.problem.code == code, (node, final)
         assert final.problem.verdict is Verdict.NOT_RUN, (node, final)
@@ -397,7 +401,7 @@
 
 @then('it is refused as {verdict} with code "{code}"')
 def _(context, verdict, code):
-    final = context.last.final
+    final = context.last.final_effect
     assert isinstance(final, events.Refuse), final
     assert final.problem.code == code, final
     assert final.problem.verdict.value == verdict, final
@@ -406,9 +410,9 @@
 @then("no request is refused for the servers that it ended or that failed")
 def _(context):
     codes = [
-        answer.final.problem.code
+        answer.final_effect.problem.code
         for answer in context.answers
-        if isinstance(answer.final, events.Refuse)
+        if isinstance(answer.final_effect, events.Refuse)
     ]
     assert not {"ends_servers", "replicas_failed"} & set(codes), codes
 
@@ -418,7 +422,9 @@
     world = context.world
     answer = world.submit(world.entries[0], "assistant", max_tokens=20)
     world.run(10.0)
-    assert isinstance(answer.final, events.FinishStream), answer.final
+    assert isinstance(answer.final_effect, events.FinishStream), (
+        answer.final_effect
+    )
 
 
 @when("{which} turns work away and asks for {pause:g} s, for {seconds:g} s")
@@ -432,7 +438,7 @@
     assert leading
     context.paused = leading[:1] if which.startswith("one") else leading
     for server in context.paused:
-        server.turns_away_s = pause
+        server.refusal_retry_after_s = pause
     context.pause_s, context.answers = pause, []
     end = world.now + seconds
     count = 0
@@ -459,11 +465,11 @@
 def _(context, first, last):
     assert last == context.pause_s
     (server,) = context.paused
-    assert server.turned_away
-    for at, node in server.turned_away:
+    assert server.refusals
+    for at, node in server.refusals:
         found = [
             other
-            for other, sender in server.turned_away
+            for other, sender in server.refusals
             if sender == node and first < other - at < last
         ]
         assert not found, (at, node, found)
@@ -477,7 +483,7 @@
     world = context.world
     world.run(late_s)
     for answer in context.answers:
-        problem = answer.final.problem
+        problem = answer.final_effect.problem
         assert problem.verdict is Verdict.NOT_RUN, problem
         assert problem.retry_after_s, problem
-        assert answer.ended_at - answer.asked_at <= late_s, answer
+        assert answer.ended_at - answer.submitted_at <= late_s, answer
--- a/tests/steps/safeguard_steps.py
+++ b/tests/steps/safeguard_steps.py
@@ -8,12 +8,16 @@
 
 import attrs
 from behave import given, then, when
-from support import deployments, operator
+from support import deployments, operator_actions
 
-from hickorylead.claims import claimant, holder, messages as claim_messages
+from hickorylead.claims import (
+    claim_holder,
+    claimant,
+    messages as claim_messages,
+)
 from hickorylead.configuration import follower, messages as config_messages
-from hickorylead.lease import zone as lease_zone
-from hickorylead.membership import listener
+from hickorylead.lease import zone_lease
+from hickorylead.membership import announcement_receiver
 from hickorylead.placement import groups, planner
 from hickorylead.requests import dispatcher, events
 from hickorylead.roles import nodes
@@ -32,17 +36,19 @@
     world.kill_server(vm)
     for second in range(40):
         for node in world.entries:
-            world.after(second, lambda n=node: world.submit(n, "assistant"))
+            world.call_later(
+                second, lambda n=node: world.submit(n, "assistant")
+            )
     world.run(40)
 
 
 def play_grantors_restart(world):
     zone = "buda-hall"
-    old = operator.list_holders(world, zone)[0]
+    old = operator_actions.list_lease_holders(world, zone)[0]
     for node in world.controls:
         if nodes.get_zone(node) == zone and node != old:
             world.start(node)
-            world.cut(old, node)
+            world.partition(old, node)
     world.run(12)
 
 
@@ -51,7 +57,7 @@
     world.run(1)
     request_id = answer.request.request_id
     frame = events.FrameArrived(f"{request_id}.1", request_id, 0, 1, "again")
-    world.give(world.entries[0], frame)
+    world.deliver(world.entries[0], frame)
     world.run(20)
 
 
@@ -67,7 +73,7 @@
     late = events.FrameArrived(
         f"{request_id}.1", request_id, position, 1, "late"
     )
-    world.give(world.entries[0], late)
+    world.deliver(world.entries[0], late)
     world.run(20)
 
 
@@ -94,7 +100,7 @@
 
 
 def play_one_key_everywhere(world):
-    world.cut_zone("buda-hall")
+    world.isolate_zone("buda-hall")
     for node in world.entries:
         world.submit(node, "dispatch", key="k", body=b"order")
     world.run(4)
@@ -110,7 +116,7 @@
     server.left_at = world.now
     for step in range(60):
         node = world.entries[step % 3]
-        world.after(step / 5, lambda n=node: world.submit(n, "assistant"))
+        world.call_later(step / 5, lambda n=node: world.submit(n, "assistant"))
     world.run(15)
 
 
@@ -147,7 +153,7 @@
     opened = self._find(frame.attempt_id)
     if opened is None:
         return []
-    opened.attempt.heard_at = now
+    opened.current_attempt.last_frame_at = now
     opened.position += frame.tokens
     effects = [events.EmitText(opened.request.request_id, frame.text)]
     if frame.finish_reason:
@@ -157,7 +163,7 @@
 
 def break_find(self, attempt_id):
     opened = self._open.get(attempt_id.rpartition(".")[0])
-    return opened if opened and opened.attempt else None
+    return opened if opened and opened.current_attempt else None
 
 
 def break_fail_attempt(self, opened, verdict, reason, retry_after_s, now):
@@ -209,8 +215,8 @@
 
 WHOLE_FAIL = dispatcher.Dispatcher._fail_attempt
 WHOLE_CLAIM = claimant.Claimant.receive
-WHOLE_HOLDER = holder.Holder.__init__
-WHOLE_LEASE = lease_zone.Lease.__init__
+WHOLE_HOLDER = claim_holder.ClaimHolder.__init__
+WHOLE_LEASE = zone_lease.ZoneLease.__init__
 
 BREAKS = {
     "only free VMs join a group": (
@@ -220,17 +226,17 @@
     ),
     "only whole groups serve": (
         groups,
-        "is_whole",
+        "is_ready",
         lambda group, members: any(vm in members for vm in group.vms),
     ),
-    "a lost domain is noticed": (listener, "SILENCE_S", 1e9),
+    "a lost domain is noticed": (announcement_receiver, "SILENCE_S", 1e9),
     "restarted grantors stay silent": (
-        (lease_zone.Lease, "__init__", break_lease),
-        (lease_zone, "LONGEST_ORDER_S", 0.0),
+        (zone_lease.ZoneLease, "__init__", break_lease),
+        (zone_lease, "LONGEST_ORDER_S", 0.0),
     ),
     "orders wait out the old lease": (
-        lease_zone.Lease,
-        "may_order",
+        zone_lease.ZoneLease,
+        "may_issue_orders",
         break_may_order,
     ),
     "frames must fit the position": (
@@ -248,16 +254,20 @@
         "_fail_attempt",
         break_fail_attempt,
     ),
-    "forgotten keys are refused": (holder.Holder, "__init__", break_holder),
+    "forgotten keys are refused": (
+        claim_holder.ClaimHolder,
+        "__init__",
+        break_holder,
+    ),
     "a majority must grant": (
         claimant.Claimant,
         "receive",
         break_receive_claim,
     ),
     "leaving servers are not whole": (
-        (groups, "is_whole", break_is_whole),
+        (groups, "is_ready", break_is_whole),
         (planner.Planner, "_is_unwanted", lambda self, vm: False),
-        (table.Table, "withdraw", lambda self, withdrawal: None),
+        (table.ReplicaTable, "withdraw", lambda self, withdrawal: None),
     ),
     "followers never go back": (follower.Follower, "adopt", break_adopt),
 }
--- a/tests/steps/storage_steps.py
+++ b/tests/steps/storage_steps.py
@@ -11,7 +11,7 @@
 from hickorylead import errors
 from hickorylead.configuration import changes
 from hickorylead.consensus import messages, voter
-from hickorylead.storage import folder, journal, memo
+from hickorylead.storage import folder, journal, saved_value
 
 NODE = "buda-hall/vm1/control"
 
@@ -140,20 +140,20 @@
     context.folder = make_folder(context)
     context.data = folder.DataFolder(context.folder, NODE)
     context.voter = make_voter()
-    persist(context.data, context.voter.found("c", (f"{NODE}#a",)))
+    persist(context.data, context.voter.bootstrap("c", (f"{NODE}#a",)))
     persist(context.data, context.voter.tick(5.0))
     for number in range(count):
         drain = changes.DrainVm(f"vm{number % 7}", number % 2 == 0)
         change = changes.Change(f"change-{number}", number, drain)
         persist(context.data, context.voter.propose(change, 5.0))
     assert context.voter.configuration.version == count
-    assert context.data.is_long()
+    assert context.data.needs_compaction()
 
 
 @when("the journal is replaced")
 def _(context):
-    context.data.rewrite(context.voter.export())
-    assert not context.data.is_long()
+    context.data.rewrite(context.voter.export_records())
+    assert not context.data.needs_compaction()
     context.data.close()
 
 
@@ -173,7 +173,7 @@
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.memo_folder = pathlib.Path(folder.name)
-    subject = memo.Memo(context.memo_folder, "servers")
+    subject = saved_value.SavedValue(context.memo_folder, "servers")
     for number in range(1, count + 1):
         subject.save(b"value %d" % number)
     context.count = count
@@ -186,7 +186,9 @@
     context.values = []
     for size in range(len(whole)):
         file.write_bytes(whole[:size])
-        context.values.append(memo.Memo(context.memo_folder, "servers").value)
+        context.values.append(
+            saved_value.SavedValue(context.memo_folder, "servers").value
+        )
 
 
 @then("opening it gives the value of the save before")
--- a/tests/steps/story_steps.py
+++ b/tests/steps/story_steps.py
@@ -7,16 +7,16 @@
 import re
 
 from behave import given, then, when
-from support import platformday
+from support import platform_cluster
 
 from hickorylead.telemetry import stories
 
 GOLDEN = pathlib.Path(__file__).resolve().parent.parent / "golden/platform"
 
 
-async def play_reset_stream(day):
+async def run_reset_stream(day):
     """Plays a stream that is reset; adds the log to the record."""
-    await platformday.play_resumed_stream(day)
+    await platform_cluster.run_resumed_stream(day)
     for shell in [day.gateway, *day.coordinators]:
         shell._log.flush()
     day.lines.append(day.log_path.read_text(encoding="utf-8"))
@@ -24,7 +24,7 @@
 
 @given("the logs of a day on which a replica reset a stream")
 def _(context):
-    record = asyncio.run(platformday.play(play_reset_stream))
+    record = asyncio.run(platform_cluster.run_session(run_reset_stream))
     rows = [row for row in record.splitlines() if row.startswith("{")]
     context.log = "\n".join(rows) + "\n"
     found = re.findall(r'"attempt_id":"(a\d+)"', context.log)
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -4,9 +4,9 @@
 
 import attrs
 from behave import given, then, when
-from support import fleetworld, planning, replicas, takeovers
+from support import fleet_simulation, planning, simulated_servers, takeovers
 
-from hickorylead.fleet import former, orders, planner
+from hickorylead.fleet import group_builder, orders, planner
 from hickorylead.roles import nodes
 
 
@@ -17,18 +17,20 @@
 
 @given("three coordinators with {count:d} servers in each zone")
 def _(context, count):
-    context.world = fleetworld.FleetWorld(
+    context.world = fleet_simulation.FleetSimulation(
         servers_per_zone=count, domain_size=count
     )
-    context.world.settle()
+    context.world.bootstrap()
 
 
 @when("messages from a coordinator no longer reach any other coordinator")
 def _(context):
     world = context.world
     world.run(3.0)
-    context.node = world.core[0]
-    world.one_way_cuts |= {(context.node, other) for other in world.core}
+    context.node = world.coordinator_names[0]
+    world.one_way_partitions |= {
+        (context.node, other) for other in world.coordinator_names
+    }
 
 
 @when("members of two groups in its zone crash one after the other")
@@ -47,12 +49,12 @@
         if (
             node != context.node
             and call.name.startswith(zone)
-            and isinstance(call, orders.Give)
+            and isinstance(call, orders.SendOrder)
         ):
             delay = world.now - cut_at
             context.orders_by_others.append((delay, node, call))
 
-    world.watch_call = record_order
+    world.on_call = record_order
     for head in heads[:2]:
         world.crash(head.members[1])
         world.run(5.0)
@@ -78,15 +80,16 @@
     def __init__(self):
         self.now = 100.0
         self.planner = planner.Planner(
-            number=1, policy=former.Policy(), life="a"
+            number=1, policy=group_builder.StandbyPolicy(), start_id="a"
         )
         self.servers = [
-            replicas.Replica(f"i{n}", staged=["large"]) for n in range(3)
+            simulated_servers.SimulatedServer(f"i{n}", staged=["large"])
+            for n in range(3)
         ]
         for server in self.servers:
             server.last_model = "large"
         self.known = [
-            attrs.evolve(server.tell(), last_model="large")
+            attrs.evolve(server.make_heartbeat(), last_model="large")
             for server in self.servers
         ]
 
@@ -105,14 +108,14 @@
         return [
             effect
             for effect in effects
-            if isinstance(effect, orders.Give)
+            if isinstance(effect, orders.SendOrder)
             and isinstance(effect.order, orders.Join)
         ]
 
     def deliver_reports(self):
         """Delivers a report of each server's order count and group."""
         for server in self.servers:
-            self.planner.take_report(
+            self.planner.handle_report(
                 orders.ReportArrived(
                     server.name, server.accepted, member=server.member
                 )
@@ -130,7 +133,7 @@
     members = tuple(s.name for s in fixture.servers)
     for server in fixture.servers:
         join = orders.Join("other", 64, "large", members)
-        assert server.take(join, 0, fixture.now) == 202
+        assert server.apply_order(join, 0, fixture.now) == 202
     fixture.deliver_reports()
 
 
@@ -140,8 +143,8 @@
     joins = fixture.plan()
     assert len(joins) == 3, joins
     for server, join in zip(fixture.servers, joins, strict=True):
-        assert server.take(join.order, join.expected, fixture.now) == 202
-        fixture.planner.take_answer(
+        assert server.apply_order(join.order, join.expected, fixture.now) == 202
+        fixture.planner.handle_response(
             orders.OrderAnswered(server.name, join.order, 202)
         )
     fixture.plan()
@@ -160,7 +163,10 @@
 def _(context):
     fixture = context.fixture
     for server in fixture.servers:
-        assert server.take(orders.Leave("other", 64), None, fixture.now) == 200
+        assert (
+            server.apply_order(orders.Leave("other", 64), None, fixture.now)
+            == 200
+        )
     fixture.deliver_reports()
     joins = fixture.plan()
     assert {join.expected for join in joins} == {2}, joins
@@ -169,5 +175,8 @@
 
 @then("takeover schedules 0 to 3 and 28 move no server out of a serving group")
 def _(_):
-    conflicts = [*takeovers.explore(0, 4), *takeovers.explore(28, 1)]
+    conflicts = [
+        *takeovers.run_schedules(0, 4),
+        *takeovers.run_schedules(28, 1),
+    ]
     assert not conflicts, conflicts
--- a/tests/steps/world_steps.py
+++ b/tests/steps/world_steps.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from support import checkers, deployments, operator, world
+from support import deployments, invariants, operator_actions, simulation
 
 from hickorylead.placement import planner
 from hickorylead.roles import nodes
@@ -49,8 +49,8 @@
 
 @given("no deployment yet, only its processes")
 def _(context):
-    context.world = world.World()
-    context.world.checkers = list(checkers.ALL)
+    context.world = simulation.Simulation()
+    context.world.checkers = list(invariants.ALL)
 
 
 @when("{seconds:g} s pass")
@@ -60,7 +60,7 @@
 
 @when('zone "{zone}" is cut off')
 def _(context, zone):
-    context.world.cut_zone(zone)
+    context.world.isolate_zone(zone)
 
 
 @when("all cuts are mended")
@@ -80,7 +80,7 @@
     built = context.world
     context.took_s = built.run_until(
         lambda: all(
-            operator.count_replicas(built, node) >= count
+            operator_actions.count_replicas(built, node) >= count
             for node in built.entries
         ),
         limit_s=seconds,
@@ -95,7 +95,7 @@
     built = context.world
     context.took_s = built.run_until(
         lambda: all(
-            operator.count_replicas(built, node, zone) == count
+            operator_actions.count_replicas(built, node, zone) == count
             for node in built.entries
             if nodes.get_zone(node) == zone
         ),
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from support import checkers, operator, servers, world
+from support import invariants, operator_actions, servers, simulation
 
 
 def build(*, engines=6, domain=6, replicas=2, size=2, **options):
@@ -11,11 +11,11 @@
         for name in ("checks_fence", "load_s", "speed")
         if name in options
     }
-    built = world.World(**options)
-    built.checkers = list(checkers.ALL)
+    built = simulation.Simulation(**options)
+    built.checkers = list(invariants.ALL)
     for zone in built.zones:
         built.add_engines(zone, engines, domain_size=domain, **engine_options)
     for zone in built.zones[1:]:
         built.add_server(servers.make_plain(zone, "dispatch"))
-    operator.set_up(built, replicas=replicas, group_size=size)
+    operator_actions.set_up(built, replicas=replicas, group_size=size)
     return built
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -8,12 +8,12 @@
 import attrs
 
 from hickorylead.configuration import changes
-from support import deployments, operator
+from support import deployments, operator_actions
 
 if TYPE_CHECKING:
-    from support.world import World
+    from support.simulation import Simulation
 
-Kind = Literal[
+FaultKind = Literal[
     "kill server",
     "pause server",
     "domain dark",
@@ -31,7 +31,7 @@
     "race of operators",
     "straggler",
 ]
-KINDS: tuple[Kind, ...] = Kind.__args__
+FAULT_KINDS: tuple[FaultKind, ...] = FaultKind.__args__
 
 
 @attrs.frozen
@@ -40,23 +40,23 @@
 
     Attributes:
         kind: What happens.
-        place: Chooses where, modulo what there is.
-        lasts_s: How long, where that has a meaning.
-        wait_s: Time until the next fault.
+        target_index: Chooses where, modulo what there is.
+        duration_s: How long, where that has a meaning.
+        next_fault_delay_s: Time until the next fault.
     """
 
-    kind: Kind
-    place: int
-    lasts_s: float
-    wait_s: float
+    kind: FaultKind
+    target_index: int
+    duration_s: float
+    next_fault_delay_s: float
 
 
-class Play:
+class FaultScenario:
     """A deployment under traffic."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.world: World = deployments.build(
+        self.world: Simulation = deployments.build(
             engines=8,
             domain=4,
             seed=seed,
@@ -81,7 +81,7 @@
         first = self.rng.sample(world.entries, self.rng.choice([1, 2, 9]))
         for node in first:
             world.submit(node, "dispatch", key=key, body=key.encode())
-        world.after(
+        world.call_later(
             self.rng.uniform(0, 3),
             lambda: world.submit(
                 self.rng.choice(world.entries),
@@ -91,17 +91,17 @@
                 key_age_s=world.now - at,
             ),
         )
-        world.after(1.0, self._ask)
+        world.call_later(1.0, self._ask)
 
-    def cause(self, fault: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
         """Causes one fault and its end."""
         world = self.world
-        zone = world.zones[fault.place % len(world.zones)]
-        entry = world.entries[fault.place % len(world.entries)]
-        control = world.controls[fault.place % len(world.controls)]
+        zone = world.zones[fault.target_index % len(world.zones)]
+        entry = world.entries[fault.target_index % len(world.entries)]
+        control = world.controls[fault.target_index % len(world.controls)]
         engines = [v for v, s in world.servers.items() if not s.is_plain]
-        vm = engines[fault.place % len(engines)]
-        lasts_s = fault.lasts_s
+        vm = engines[fault.target_index % len(engines)]
+        lasts_s = fault.duration_s
         match fault.kind:
             case "kill server":
                 self._kill_servers([vm], lasts_s)
@@ -117,35 +117,35 @@
                 world.pause_server(vm, lasts_s)
             case "straggler":
                 world.servers[vm].batch.slowness = 8.0
-                world.after(lasts_s, lambda: self._speed_up(vm))
+                world.call_later(lasts_s, lambda: self._speed_up(vm))
             case "cut zone":
-                world.cut_zone(zone)
-                world.after(lasts_s, world.heal)
+                world.isolate_zone(zone)
+                world.call_later(lasts_s, world.heal)
             case "cut pair one way":
-                other = world.zones[(fault.place + 1) % len(world.zones)]
-                world.cut(zone, other, one_way=True)
-                world.after(lasts_s, world.heal)
+                other = world.zones[(fault.target_index + 1) % len(world.zones)]
+                world.partition(zone, other, one_way=True)
+                world.call_later(lasts_s, world.heal)
             case "leader cut off":
-                leader = operator.find_leader(world)
+                leader = operator_actions.find_leader(world)
                 for node in (*world.controls, *world.entries):
                     if leader and node != leader:
-                        world.cut(leader, node)
-                world.after(lasts_s, world.heal)
+                        world.partition(leader, node)
+                world.call_later(lasts_s, world.heal)
             case "kill entry":
                 world.kill(entry)
-                world.after(lasts_s, lambda: world.start(entry))
+                world.call_later(lasts_s, lambda: world.start(entry))
             case "kill control":
                 world.kill(control)
-                world.after(lasts_s, lambda: world.start(control))
+                world.call_later(lasts_s, lambda: world.start(control))
             case "pause control":
                 world.pause(control, lasts_s)
             case "lose disk":
-                voter = world.voters[fault.place % len(world.voters)]
-                world.lose_disk(voter)
-                world.after(lasts_s, lambda: world.start(voter))
+                voter = world.voters[fault.target_index % len(world.voters)]
+                world.wipe_disk(voter)
+                world.call_later(lasts_s, lambda: world.start(voter))
             case "lose messages":
                 world.loss = 0.1
-                world.after(lasts_s, lambda: setattr(world, "loss", 0.0))
+                world.call_later(lasts_s, lambda: setattr(world, "loss", 0.0))
             case "server leaves":
                 self._leave(vm, lasts_s)
             case "zone restarts":
@@ -153,19 +153,21 @@
                     if node.startswith(zone):
                         world.start(node)
             case "clock jumps":
-                world.skew[control] = 300.0 if fault.place % 2 else -300.0
-                world.after(lasts_s, lambda: world.skew.pop(control, None))
+                world.skew[control] = (
+                    300.0 if fault.target_index % 2 else -300.0
+                )
+                world.call_later(lasts_s, lambda: world.skew.pop(control, None))
             case "race of operators":
-                self._race(fault.place)
+                self._race(fault.target_index)
 
     def _kill_servers(self, vms: list[str], lasts_s: float) -> None:
         for vm in vms:
             self.world.kill_server(vm)
-            self.world.after(lasts_s, lambda v=vm: self._revive(v))
+            self.world.call_later(lasts_s, lambda v=vm: self._revive(v))
 
     def _revive(self, vm: str) -> None:
         if not self.world.servers[vm].alive:
-            self.world.revive_server(vm)
+            self.world.restart_server(vm)
 
     def _speed_up(self, vm: str) -> None:
         self.world.servers[vm].batch.slowness = 1.0
@@ -180,9 +182,9 @@
         def come_back() -> None:
             server.left_at = None
             self.world.kill_server(vm)
-            self.world.revive_server(vm)
+            self.world.restart_server(vm)
 
-        self.world.after(max(lasts_s, 20.0), come_back)
+        self.world.call_later(max(lasts_s, 20.0), come_back)
 
     def _race(self, place: int) -> None:
         world = self.world
@@ -192,7 +194,7 @@
         for number in (0, 4):
             node = world.entries[(place + number) % len(world.entries)]
             drain = changes.DrainVm(f"none-{place}", number == 0)
-            operator.submit(
+            operator_actions.submit(
                 world,
                 drain,
                 change_id=f"race-{world.now}-{number}",
@@ -201,23 +203,24 @@
             )
 
 
-def run_play(seed: int, faults: list[Fault]) -> Play:
+def run_play(seed: int, faults: list[Fault]) -> FaultScenario:
     """Plays faults, lets all come back, and checks that it did."""
-    play = Play(seed)
+    play = FaultScenario(seed)
     world = play.world
     for fault in faults:
-        play.cause(fault)
-        world.run(fault.wait_s)
+        play.inject(fault)
+        world.run(fault.next_fault_delay_s)
     world.run(60)
     play.stops_at = world.now
     world.run(45)
     for node in world.entries:
         zones = {
-            z: operator.count_replicas(world, node, z) for z in world.zones
+            z: operator_actions.count_replicas(world, node, z)
+            for z in world.zones
         }
         assert min(zones.values()) >= 2, f"{node} may use {zones}"
     for answer in world.answers.values():
-        assert answer.final is not None, f"no answer: {answer.request}"
+        assert answer.final_effect is not None, f"no answer: {answer.request}"
     return play
 
 
@@ -226,7 +229,7 @@
     rng = random.Random(f"faults {seed}")
     return [
         Fault(
-            rng.choice(KINDS),
+            rng.choice(FAULT_KINDS),
             rng.randrange(1000),
             rng.choice([5.0, 10.0, 30.0]),
             rng.choice([0.1, 1.0, 5.0, 15.0]),
--- a/tests/support/fleetworld.py
+++ b/tests/support/fleet_simulation.py
@@ -23,40 +23,40 @@
 from hickorylead.crashes import messages as crash_messages
 from hickorylead.fleet import (
     events,
-    former as former_module,
+    group_builder as group_builder_module,
     identity,
     instances,
     orders,
 )
-from hickorylead.roles import coordinator, gateway, nodes, seam
-from support import replicas
+from hickorylead.roles import coordinator, gateway, interface, nodes
+from support import simulated_servers
 
 ZONES = ("z1", "z2", "z3")
 LATENCY_S = 0.001
 HEARTBEAT_S = 1.2
-TUNING = voter_module.Tuning(
+TUNING = voter_module.VoterOptions(
     0.15,
     0.7,
     1.4,
-    first_election_s=0.4,
+    first_election_max_s=0.4,
     replace_after_s=6.0,
-    forgotten_s=2.0,
+    rejoin_after_s=2.0,
 )
 MODELS = (
-    document.ModelFigures("large", 3, 0.6, 1.0, 1.5, 0.5),
-    document.ModelFigures("small", 2, 0.4, 0.6, 1.5, 0.5),
+    document.ModelProfile("large", 3, 0.6, 1.0, 1.5, 0.5),
+    document.ModelProfile("small", 2, 0.4, 0.6, 1.5, 0.5),
 )
-ENGINE = document.Engine(
+ENGINE = document.EngineProfile(
     slots=8,
-    kv_tokens=100_000,
-    step_s=0.006,
-    step_per_request_s=0.0005,
-    step_per_token_s=0.0,
-    read_s=1 / 46000,
-    chunk_tokens=2048,
-    stride=5,
+    kv_cache_tokens=100_000,
+    decode_step_s=0.006,
+    decode_step_per_request_s=0.0005,
+    decode_step_per_context_token_s=0.0,
+    prefill_per_token_s=1 / 46000,
+    prefill_chunk_tokens=2048,
+    steps_per_event=5,
     models=MODELS,
-    loads_per_s=4.0,
+    max_load_starts_per_s=4.0,
 )
 
 
@@ -70,7 +70,7 @@
                     "drafts",
                     "host",
                     "/drafts/",
-                    document.Kind.STREAM,
+                    document.RouteKind.STREAM,
                     (document.Target("model", 1.0),),
                     8.0,
                     0.3,
@@ -83,7 +83,7 @@
                     "alerts",
                     "host",
                     "/alerts/",
-                    document.Kind.NON_IDEMPOTENT,
+                    document.RouteKind.NON_IDEMPOTENT,
                     (document.Target("plain", 1.0),),
                     1.0,
                     0.1,
@@ -92,7 +92,7 @@
                     "notices",
                     "host",
                     "/notices/",
-                    document.Kind.IDEMPOTENT,
+                    document.RouteKind.IDEMPOTENT,
                     (document.Target("plain", 1.0),),
                     1.0,
                     0.1,
@@ -112,12 +112,14 @@
 def write_content(found: document.Document) -> bytes:
     """Returns content that `read_content` reads: tests need no format."""
     names = json.dumps([w.keys for w in found.workspaces])
-    return document.pack_content(f"{found.version} {names}".encode())
+    return document.compress_content(f"{found.version} {names}".encode())
 
 
 def read_content(packed: bytes) -> result.Result[document.Document, str]:
     """Returns the configuration that some content stands for."""
-    version, _, names = document.unpack_content(packed).decode().partition(" ")
+    version, _, names = (
+        document.decompress_content(packed).decode().partition(" ")
+    )
     workspaces = tuple(
         document.Workspace("crew", tuple(keys), 1) for keys in json.loads(names)
     )
@@ -134,7 +136,7 @@
     crashes: crash_messages.CrashNews | None = None
 
 
-class FleetWorld:
+class FleetSimulation:
     """All nodes of a small deployment."""
 
     def __init__(
@@ -153,46 +155,48 @@
         self.coordinators: dict[str, coordinator.Coordinator] = {}
         self.gateways: dict[str, gateway.Gateway] = {}
         self.disks: dict[str, Disk] = {}
-        self.servers: dict[str, replicas.Replica] = {}
+        self.servers: dict[str, simulated_servers.SimulatedServer] = {}
         self.frozen: set[str] = set()
         # What came while a node was frozen, in order.
         self.buffers: dict[str, list[Any]] = {}
         # Whom each node has heard since it started.
         self.heard: dict[str, set[str]] = {}
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         # (sender, target) pairs whose messages are dropped.
-        self.one_way_cuts: set[tuple[str, str]] = set()
+        self.one_way_partitions: set[tuple[str, str]] = set()
         # Accepted joins that removed a server from a group with an open head.
         self.conflicting_joins: list[str] = []
         self.answers: dict[str, Any] = {}
         self.notes: list[tuple[float, str, Any]] = []
         self.gateway_effects: list[tuple[float, str, Any]] = []
         # Called with sender, target and message of all that is sent.
-        self.watch = None
+        self.on_send = None
         # Called with coordinator and effect for each order and question.
-        self.watch_call = None
+        self.on_call = None
         self._boots = 0
         # When gateways started, and which.
         self.starts: list[tuple[float, str]] = []
-        self.core = [
-            nodes.name_node(zone, f"core{number or ''}", nodes.COORDINATOR)
+        self.coordinator_names = [
+            nodes.make_node_name(zone, f"core{number or ''}", nodes.COORDINATOR)
             for number in range(coordinators_per_zone)
             for zone in ZONES
         ]
         # The operators' list names three machines at most.
-        self.seeds = tuple(self.core[:3])
-        for node in self.core:
+        self.seeds = tuple(self.coordinator_names[:3])
+        for node in self.coordinator_names:
             self.disks[node] = Disk(f"d{len(self.disks)}")
             self.start(node, first=True)
         for zone in ZONES:
             for number in range(1, gateways_per_zone + 1):
                 vm = f"front{number}"
-                self.start_gateway(nodes.name_node(zone, vm, nodes.GATEWAY))
+                self.start_gateway(
+                    nodes.make_node_name(zone, vm, nodes.GATEWAY)
+                )
             for number in range(servers_per_zone):
                 self.add_server(
                     f"{zone}-s{number}", zone, number // domain_size
                 )
-        self._at(HEARTBEAT_S, self._beat)
+        self.call_at(HEARTBEAT_S, self._beat)
 
     # Nodes.
 
@@ -206,22 +210,22 @@
                 address=node,
                 incarnation=disk.incarnation,
                 seeds=self.seeds,
-                may_found=first,
+                may_bootstrap=first,
                 heartbeat_s=HEARTBEAT_S,
                 zones=ZONES,
             ),
             read_document=read_content,
-            policy=former_module.Policy(),
+            policy=group_builder_module.StandbyPolicy(),
             records=list(disk.records),
             rng=random.Random(f"{node}{self.rng.random()}"),
             now=self.now,
             tuning=TUNING,
         )
         life = self.coordinators[node]
-        life.registry.recall(disk.servers, self.now)
+        life.registry.restore(disk.servers, self.now)
         if disk.crashes is not None:
-            life.crashes.recall(disk.crashes, self.now)
-        self._at(0.0, lambda: self._tick(node, life, coordinator.TICK_S))
+            life.crashes.restore(disk.crashes, self.now)
+        self.call_at(0.0, lambda: self._tick(node, life, coordinator.TICK_S))
 
     def start_gateway(self, node: str) -> None:
         """Starts a gateway, which knows nothing."""
@@ -235,7 +239,7 @@
             now=self.now,
         )
         life = self.gateways[node]
-        self._at(0.0, lambda: self._tick(node, life, gateway.TICK_S))
+        self.call_at(0.0, lambda: self._tick(node, life, gateway.TICK_S))
 
     def kill(self, node: str) -> None:
         """Ends a process; its disk stays."""
@@ -248,29 +252,29 @@
 
     def add_server(
         self, name: str, zone: str, domain: int = 0
-    ) -> replicas.Replica:
+    ) -> simulated_servers.SimulatedServer:
         """Adds an empty backend server."""
-        server = replicas.Replica(
+        server = simulated_servers.SimulatedServer(
             name, zone, f"{zone}-d{domain}", address=f"{name}:80"
         )
         self.servers[name] = server
-        self._at(0.05, lambda: self._tell(server))
+        self.call_at(0.05, lambda: self.send_heartbeat(server))
         return server
 
-    def thaw(self, node: str) -> None:
+    def unfreeze(self, node: str) -> None:
         """Wakes a frozen node; what waited in its buffers comes first."""
         self.frozen.discard(node)
         for event in self.buffers.pop(node, []):
             self.apply(node, event)
 
-    def cut(self, first: str, second: str) -> None:
+    def partition(self, first: str, second: str) -> None:
         """Cuts the network between two nodes, both ways."""
-        self.cuts.add(frozenset((first, second)))
+        self.partitions.add(frozenset((first, second)))
 
     def heal(self) -> None:
         """Joins all networks again."""
-        self.cuts.clear()
-        self.one_way_cuts.clear()
+        self.partitions.clear()
+        self.one_way_partitions.clear()
 
     # Time.
 
@@ -291,7 +295,7 @@
             self.run(0.02)
         return self.now - began
 
-    def _at(self, delay_s: float, action) -> None:
+    def call_at(self, delay_s: float, action) -> None:
         entry = (self.now + delay_s, next(self._count), action)
         heapq.heappush(self._queue, entry)
 
@@ -299,8 +303,8 @@
         if self._find(node) is not life:
             return
         if node not in self.frozen:
-            self.apply(node, seam.Tick(0.0))
-        self._at(period_s, lambda: self._tick(node, life, period_s))
+            self.apply(node, interface.Tick(0.0))
+        self.call_at(period_s, lambda: self._tick(node, life, period_s))
 
     def _find(self, node: str) -> Any:
         return self.coordinators.get(node) or self.gateways.get(node)
@@ -320,7 +324,7 @@
 
     def _carry_out(self, node: str, effect: Any) -> None:
         match effect:
-            case seam.Send(target, message):
+            case interface.Send(target, message):
                 # As connections do: a name can be sent to only once a message
                 # of that node told where it is; "@" is followed by an address.
                 if (
@@ -330,15 +334,15 @@
                 ):
                     return
                 target = target.removeprefix("@")
-                if self.watch is not None:
-                    self.watch(node, target, message)
+                if self.on_send is not None:
+                    self.on_send(node, target, message)
                 if (
-                    frozenset((node, target)) in self.cuts
-                    or (node, target) in self.one_way_cuts
+                    frozenset((node, target)) in self.partitions
+                    or (node, target) in self.one_way_partitions
                 ):
                     return
-                arrived = seam.MessageArrived(node, message, 0.0)
-                self._at(LATENCY_S, lambda: self._arrive(target, arrived))
+                arrived = interface.MessageArrived(node, message, 0.0)
+                self.call_at(LATENCY_S, lambda: self._arrive(target, arrived))
             case consensus_messages.Persist(record):
                 self.disks[node].records.append(record)
             case events.SaveInstances(known):
@@ -349,52 +353,54 @@
                 self.answers[token] = accepted
             case events.AnswerRead(token, version, content):
                 self.answers[token] = None if content is None else version
-            case orders.Give():
-                self._at(LATENCY_S, lambda: self._give(node, effect))
-            case orders.AskReport():
-                self._at(LATENCY_S, lambda: self._report(node, effect))
+            case orders.SendOrder():
+                self.call_at(LATENCY_S, lambda: self._give(node, effect))
+            case orders.RequestReport():
+                self.call_at(LATENCY_S, lambda: self._report(node, effect))
             case _ if node in self.gateways:
                 self.gateway_effects.append((self.now, node, effect))
             case _:
                 self.notes.append((self.now, node, effect))
 
-    def _arrive(self, target: str, arrived: seam.MessageArrived) -> None:
+    def _arrive(self, target: str, arrived: interface.MessageArrived) -> None:
         if self._find(target) is not None and target not in self.frozen:
             self.heard.setdefault(target, set()).add(arrived.sender)
         self.apply(target, arrived)
 
-    def _give(self, node: str, give: orders.Give) -> None:
-        if self.watch_call is not None:
-            self.watch_call(node, give)
+    def _give(self, node: str, give: orders.SendOrder) -> None:
+        if self.on_call is not None:
+            self.on_call(node, give)
         server = self.servers.get(give.name)
-        if server is None or frozenset((node, give.name)) in self.cuts:
+        if server is None or frozenset((node, give.name)) in self.partitions:
             lost = orders.OrderAnswered(give.name, give.order, 0)
-            self._at(0.4, lambda: self.apply(node, lost))
+            self.call_at(0.4, lambda: self.apply(node, lost))
             return
         previous_group = server.member.group
         had_open_head = self._has_open_head(server)
-        status = server.take(give.order, give.expected, self.now)
+        status = server.apply_order(give.order, give.expected, self.now)
         is_join = isinstance(give.order, orders.Join)
         if status == 202 and had_open_head and is_join:
             self.conflicting_joins.append(
                 f"{self.now:.3f}: {node} moved {give.name} from serving group"
                 f" {previous_group} to {give.order.group}"
             )
-        self._tell(server)
-        self._at(0.51, lambda: self._advance(server))
-        self._at(0.21, lambda: self._advance(server))
-        self._at(0.31, lambda: self._advance(server))
-        self._at(replicas.LOAD_S + 0.01, lambda: self._advance(server))
+        self.send_heartbeat(server)
+        self.call_at(0.51, lambda: self._advance(server))
+        self.call_at(0.21, lambda: self._advance(server))
+        self.call_at(0.31, lambda: self._advance(server))
+        self.call_at(
+            simulated_servers.LOAD_S + 0.01, lambda: self._advance(server)
+        )
         answered = orders.OrderAnswered(give.name, give.order, status)
-        self._at(LATENCY_S, lambda: self.apply(node, answered))
+        self.call_at(LATENCY_S, lambda: self.apply(node, answered))
 
-    def _report(self, node: str, question: orders.AskReport) -> None:
-        if self.watch_call is not None:
-            self.watch_call(node, question)
+    def _report(self, node: str, question: orders.RequestReport) -> None:
+        if self.on_call is not None:
+            self.on_call(node, question)
         server = self.servers.get(question.name)
         reached = (
             server is not None
-            and frozenset((node, question.name)) not in self.cuts
+            and frozenset((node, question.name)) not in self.partitions
         )
         arrived = orders.ReportArrived(
             question.name,
@@ -402,34 +408,34 @@
             member=server.member if server else instances.Membership(),
         )
         wait_s = LATENCY_S if reached else 0.25
-        self._at(wait_s, lambda: self.apply(node, arrived))
+        self.call_at(wait_s, lambda: self.apply(node, arrived))
 
-    def _advance(self, server: replicas.Replica) -> None:
+    def _advance(self, server: simulated_servers.SimulatedServer) -> None:
         if server.alive and server.advance(self.now):
-            self._tell(server)
+            self.send_heartbeat(server)
 
-    def _tell(self, server: replicas.Replica) -> None:
+    def send_heartbeat(self, server: simulated_servers.SimulatedServer) -> None:
         if not server.alive:
             return
-        told = server.tell()
+        told = server.make_heartbeat()
         reachable = [
             node
             for node in self.coordinators
-            if frozenset((node, server.name)) not in self.cuts
+            if frozenset((node, server.name)) not in self.partitions
             and node not in self.frozen
         ]
         own = [n for n in reachable if nodes.get_zone(n) == server.zone]
         if own or reachable:
             node = self.rng.choice(own or reachable)
             heard = events.HeartbeatArrived(told)
-            self._at(LATENCY_S, lambda: self.apply(node, heard))
+            self.call_at(LATENCY_S, lambda: self.apply(node, heard))
 
     def _beat(self) -> None:
         for server in list(self.servers.values()):
             # Not all at once: each has a time of its own in the period.
             delay_s = self.rng.uniform(0.0, 0.9 * HEARTBEAT_S)
-            self._at(delay_s, lambda s=server: self._tell(s))
-        self._at(HEARTBEAT_S, self._beat)
+            self.call_at(delay_s, lambda s=server: self.send_heartbeat(s))
+        self.call_at(HEARTBEAT_S, self._beat)
 
     # What tests ask.
 
@@ -441,23 +447,23 @@
         """Sends a configuration to a coordinator; returns its token."""
         token = token or f"t{next(self._count)}"
         content = write_content(make_document(version))
-        self.apply(node, events.ReplaceAsked(token, version, content))
+        self.apply(node, events.ReplaceRequested(token, version, content))
         return token
 
     def read(self, node: str) -> str:
         """Asks a coordinator for the newest; returns the token."""
         token = f"r{next(self._count)}"
-        self.apply(node, events.ReadAsked(token))
+        self.apply(node, events.ReadRequested(token))
         return token
 
     def find_leader(self) -> str:
         """Returns the coordinator that leads; empty if none does."""
         for node, role in self.coordinators.items():
-            if role.voter.leads(self.now):
+            if role.voter.is_ready_leader(self.now):
                 return node
         return ""
 
-    def list_open(self) -> list[replicas.Replica]:
+    def list_open(self) -> list[simulated_servers.SimulatedServer]:
         """Returns the heads that serve, with all members alive."""
         return [
             server
@@ -466,11 +472,13 @@
             and all(self._belongs(name, server) for name in server.members)
         ]
 
-    def _belongs(self, name: str, head: replicas.Replica) -> bool:
+    def _belongs(
+        self, name: str, head: simulated_servers.SimulatedServer
+    ) -> bool:
         member = self.servers.get(name)
         return member is not None and (member.member.group == head.member.group)
 
-    def _has_open_head(self, server: replicas.Replica) -> bool:
+    def _has_open_head(self, server: simulated_servers.SimulatedServer) -> bool:
         """Returns whether the head of the server's group is open."""
         if not server.member.group:
             return False
@@ -482,10 +490,10 @@
             and head.member.epoch == server.member.epoch
         )
 
-    def settle(self, version: int = 1) -> None:
+    def bootstrap(self, version: int = 1) -> None:
         """Puts a first configuration in force and waits for groups."""
         self.run(2.0)
-        token = self.replace(self.core[0], version)
+        token = self.replace(self.coordinator_names[0], version)
         self.run_until(lambda: self.answers.get(token) is True, 5.0)
         self.run_until(lambda: len(self.list_open()) >= 2 * len(ZONES))
         self.run(1.0)
--- a/tests/support/forwardplay.py
+++ b/tests/support/forwarder_harness.py
@@ -7,25 +7,25 @@
 import attrs
 
 from hickorylead.configuration import document
-from hickorylead.crashes import guard
+from hickorylead.crashes import crash_guard
 from hickorylead.fleet import instances, registry
 from hickorylead.forwarding import (
     choice,
     events,
-    fleetview,
     forwarder,
     health,
     model,
+    replica_directory,
 )
-from hickorylead.notices import book
-from hickorylead.ratelimits import permits
-from support import fleetworld
+from hickorylead.notices import notice_store
+from hickorylead.ratelimits import permit_pool
+from support import fleet_simulation
 
-OK = model.Head(200, is_sealed=True)
-ROUTES = {r.name: r for r in fleetworld.make_document(1).routes}
+OK = model.ResponseHead(200, is_signed=True)
+ROUTES = {r.name: r for r in fleet_simulation.make_document(1).routes}
 
 
-class Play:
+class ForwarderHarness:
     """One gateway's forwarder; the test is its callers and replicas."""
 
     def __init__(
@@ -37,34 +37,34 @@
             self._add(f"p{number}", "plain", 0)
         for number in range(models):
             self._add(f"m{number}", "model", number + 1)
-        self.book = health.HealthBook()
-        self.guard = guard.Guard("z1/front1")
-        self.notices = book.NoticeBook()
+        self.health = health.HealthTracker()
+        self.guard = crash_guard.CrashGuard("z1/front1")
+        self.notices = notice_store.NoticeStore()
         rng = random.Random(1)
-        self.permits = permits.Permits("z1/front1", first=1, rng=rng)
-        view = fleetview.FleetView(self.registry)
-        self.subject = forwarder.Forwarder(
+        self.permits = permit_pool.PermitPool("z1/front1", first=1, rng=rng)
+        view = replica_directory.ReplicaDirectory(self.registry)
+        self.forwarder = forwarder.Forwarder(
             chooser=choice.Chooser(
                 zone="z1",
-                view=view,
-                book=self.book,
+                directory=view,
+                health=self.health,
                 notices=self.notices,
                 permits=self.permits,
                 rng=rng,
             ),
-            book=self.book,
+            health=self.health,
             guard=self.guard,
             notices=self.notices,
             permits=self.permits,
         )
         # Its coordinator has told it how many share the retries.
-        self.subject.note_gateways(9, 0.0)
+        self.forwarder.set_gateway_count(9, 0.0)
         engine = attrs.evolve(
-            fleetworld.ENGINE,
-            models=(document.ModelFigures("large", 1, 1.0, 1.0, 1.5, 0.5),),
+            fleet_simulation.ENGINE,
+            models=(document.ModelProfile("large", 1, 1.0, 1.0, 1.5, 0.5),),
         )
-        self.subject.document = attrs.evolve(
-            fleetworld.make_document(1),
+        self.forwarder.document = attrs.evolve(
+            fleet_simulation.make_document(1),
             services=(
                 document.Service(
                     "model", engine=engine, max_connections=max_connections
@@ -72,9 +72,9 @@
                 document.Service("plain", max_connections=max_connections),
             ),
         )
-        view.follow(self.subject.document)
+        view.set_document(self.forwarder.document)
         self.effects: list[tuple[float, events.Effect]] = []
-        self.count = 0
+        self.request_count = 0
 
     def _add(self, name, service, epoch):
         member = instances.Membership()
@@ -96,12 +96,12 @@
             self.now,
         )
 
-    def give(self, event):
+    def deliver(self, event):
         """Gives an event to the reducer and keeps its effects."""
-        for effect in self.subject.handle(event, self.now):
+        for effect in self.forwarder.handle(event, self.now):
             self.effects.append((self.now, effect))
 
-    def ask(
+    def send_request(
         self,
         route: str,
         *,
@@ -111,14 +111,14 @@
         target: bytes = b"/x/",
     ) -> str:
         """Sends a request; returns its name."""
-        self.count += 1
-        name = f"r{self.count}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         found = ROUTES[route]
-        self.give(
-            events.Arrived(
+        self.deliver(
+            events.RequestArrived(
                 model.Request(
                     request_id=name,
-                    terms=model.Terms(
+                    metadata=model.RequestMetadata(
                         f"try-{name}",
                         budget_s=found.timeout_s,
                         model="large" if found.has_prompts else "",
@@ -138,45 +138,51 @@
         )
         return name
 
-    def run(self, seconds: float, each=None) -> None:
+    def advance(self, seconds: float, each=None) -> None:
         """Lets time pass in ticks."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.01
-            for effect in self.subject.tick(self.now):
+            for effect in self.forwarder.tick(self.now):
                 self.effects.append((self.now, effect))
             if each is not None:
                 each()
 
-    def list_sent(self, name: str = "") -> list[events.Open]:
+    def list_attempts(self, name: str = "") -> list[events.StartAttempt]:
         """Returns what was sent to replicas."""
         return [
             e
             for _, e in self.effects
-            if isinstance(e, events.Open)
+            if isinstance(e, events.StartAttempt)
             and (not name or e.request.request_id == name)
         ]
 
-    def begin(self, name: str, head: model.Head | None = None) -> int:
+    def send_head(
+        self, name: str, head: model.ResponseHead | None = None
+    ) -> int:
         """Answers with a head; returns the number of the attempt."""
-        sent = self.list_sent(name)[-1]
-        echo = sent.request.terms.attempt_id
-        head = head or attrs.evolve(OK, echo=echo)
-        self.give(events.Began(name, sent.attempt, head))
+        sent = self.list_attempts(name)[-1]
+        echo = sent.request.metadata.attempt_id
+        head = head or attrs.evolve(OK, echoed_attempt_id=echo)
+        self.deliver(events.ResponseHeadArrived(name, sent.attempt, head))
         return sent.attempt
 
     def send_events(self, name: str, numbers, *, attempt: int) -> None:
         """Gives events of a stream."""
         for number in numbers:
-            self.give(events.PieceCame(name, attempt, write_event(number)))
+            self.deliver(
+                events.ChunkArrived(name, attempt, write_event(number))
+            )
 
-    def answer(self, name: str, head: model.Head | None = None) -> None:
+    def respond(
+        self, name: str, head: model.ResponseHead | None = None
+    ) -> None:
         """Answers a plain call whole."""
-        attempt = self.begin(name, head)
-        self.give(events.PieceCame(name, attempt, b"body"))
-        self.give(events.Ended(name, attempt))
+        attempt = self.send_head(name, head)
+        self.deliver(events.ChunkArrived(name, attempt, b"body"))
+        self.deliver(events.ResponseCompleted(name, attempt))
 
-    def list_of(self, name: str, kind) -> list:
+    def list_effects(self, name: str, kind) -> list:
         """Returns the effects of a kind for a request, with their times."""
         return [
             (at, e)
--- a/tests/support/checkers.py
+++ b/tests/support/invariants.py
@@ -11,7 +11,7 @@
 from hickorylead_standins import batch
 
 if TYPE_CHECKING:
-    from support.world import World
+    from support.simulation import Simulation
 
 # From a VM's death until no entry sends new work to its group: the entry that
 # hears it notices, the holder plans, the table travels; if that entry or the
@@ -21,7 +21,7 @@
 SPREAD_S = 8.0
 
 
-def check_whole_groups(world: World) -> None:
+def check_whole_groups(world: Simulation) -> None:
     """No replica is sent work unless every VM in its group is present.
 
     A VM that died, left or paused counts as present for the time that its
@@ -60,7 +60,7 @@
         )
 
 
-def check_one_group(world: World) -> None:
+def check_one_group(world: Simulation) -> None:
     """No VM belongs to two replica groups at once."""
     for node in world.touched:
         role = world.roles.get(node)
@@ -71,7 +71,7 @@
             assert len(listed) == len(set(listed)), f"{node} lists a VM twice"
 
 
-def check_one_holder(world: World) -> None:
+def check_one_holder(world: Simulation) -> None:
     """One control process at most gives orders in a zone."""
     for zone in {nodes.get_zone(n) for n in world.touched}:
         holders = [
@@ -85,18 +85,18 @@
         assert len(holders) <= 1, f"{holders} hold the lease of {zone}"
 
 
-def check_answers(world: World) -> None:
+def check_answers(world: Simulation) -> None:
     """A caller gets the whole answer to its own request, or a problem."""
     for answer in world.ended:
-        if isinstance(answer.final, events.FinishStream):
+        if isinstance(answer.final_effect, events.FinishStream):
             digest = batch.digest_body(answer.request.body)
             right = batch.make_text(digest, answer.request.max_tokens)
             assert answer.text == right, f"{answer.request.request_id} is wrong"
-        if isinstance(answer.final, events.GiveAnswer):
-            assert answer.final.body == b"run for " + answer.request.body
+        if isinstance(answer.final_effect, events.SendResponse):
+            assert answer.final_effect.body == b"run for " + answer.request.body
 
 
-def check_not_run(world: World) -> None:
+def check_not_run(world: Simulation) -> None:
     """What was said not to have run has no run in any server's record."""
     for _, run in world.new_runs:
         answer = world.answers[run.request_id]
@@ -107,14 +107,14 @@
             assert request_id not in world.run_ids, f"{request_id} ran"
 
 
-def check_at_most_once(world: World) -> None:
+def check_at_most_once(world: Simulation) -> None:
     """A key runs at most once, by the servers' own records."""
     for _, run in world.new_runs:
         count = world.key_runs[run.key]
         assert not run.key or count == 1, f"key {run.key} ran {count} times"
 
 
-def check_retirement(world: World) -> None:
+def check_retirement(world: Simulation) -> None:
     """A leaving server gets no new work after a few seconds."""
     for attempt in world.attempts:
         server = world.servers[attempt.replica.vm]
@@ -125,7 +125,7 @@
             )
 
 
-def check_versions(world: World) -> None:
+def check_versions(world: Simulation) -> None:
     """A version in force never falls, in any process that goes on."""
     for node in world.touched:
         role = world.roles.get(node)
--- a/tests/support/limitfaults.py
+++ b/tests/support/limitfaults.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from support import crashplay, fleetworld
+from support import fleet_simulation, traffic_simulation
 
 KINDS = ("lose", "freeze", "cut off", "cut a zone off", "lose all", "gateway")
 FAULTS = 8
@@ -61,22 +61,22 @@
             gateways = sorted(world.gateways)
             if gateways:
                 body = b"asked %d" % len(play.submissions)
-                asked = play.ask(rng.choice(gateways), body)
+                asked = play.submit(rng.choice(gateways), body)
                 play.asked_at[asked.name] = world.now
-        play.run(crashplay.STEP_S)
+        play.run(traffic_simulation.STEP_S)
 
 
 def explore(seed: int) -> Result:
     """Plays one schedule; the same seed plays the same."""
     rng = random.Random(seed)
-    world = fleetworld.FleetWorld(
+    world = fleet_simulation.FleetSimulation(
         seed=seed,
         servers_per_zone=8,
         gateways_per_zone=rng.choice([2, 8]),
         coordinators_per_zone=rng.choice([1, 2]),
     )
-    world.settle()
-    play = crashplay.CrashPlay(world)
+    world.bootstrap()
+    play = traffic_simulation.TrafficSimulation(world)
     play.asked_at = {}
     send(play, 3.0, rng)
     limit = rng.choice([0.5, 1.0, 2.0, 4.0])
@@ -96,7 +96,7 @@
 def cause(fault: str, play, rng: random.Random) -> None:
     """Causes a fault for some time while requests go on, and ends it."""
     world = play.world
-    node = rng.choice(world.core)
+    node = rng.choice(world.coordinator_names)
     seconds = rng.choice([0.5, 2.0, 5.0])
     match fault:
         case "lose":
@@ -106,23 +106,25 @@
         case "freeze":
             world.frozen.add(node)
             send(play, seconds, rng)
-            world.thaw(node)
+            world.unfreeze(node)
         case "cut off":
-            cut(world, [node], [n for n in world.core if n != node])
+            cut(
+                world, [node], [n for n in world.coordinator_names if n != node]
+            )
             send(play, seconds, rng)
             world.heal()
         case "cut a zone off":
             zone = node.partition("/")[0]
-            nodes = [*world.core, *world.gateways]
+            nodes = [*world.coordinator_names, *world.gateways]
             inside = [n for n in nodes if n.startswith(f"{zone}/")]
             cut(world, inside, [n for n in nodes if n not in inside])
             send(play, seconds, rng)
             world.heal()
         case "lose all":
-            for each in world.core:
+            for each in world.coordinator_names:
                 world.kill(each)
             send(play, seconds, rng)
-            for each in world.core:
+            for each in world.coordinator_names:
                 world.start(each)
         case "gateway":
             gateway = rng.choice(sorted(world.gateways))
@@ -135,4 +137,4 @@
     """Cuts some nodes from others."""
     for one in first:
         for other in second:
-            world.cut(one, other)
+            world.partition(one, other)
--- a/tests/support/noticeplay.py
+++ b/tests/support/notice_schedules.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from support import crashplay, fleetworld, limitfaults
+from support import fleet_simulation, limitfaults, traffic_simulation
 
 # A gateway has this long to heed a pause, in seconds, and may send this many
 # requests in the rest of it.
@@ -19,32 +19,34 @@
 
 def make_play(
     gateways: int, servers: int, seed: int = 1
-) -> crashplay.CrashPlay:
+) -> traffic_simulation.TrafficSimulation:
     """Returns a fleet with open groups and callers, after some seconds."""
-    world = fleetworld.FleetWorld(
+    world = fleet_simulation.FleetSimulation(
         seed=seed,
         servers_per_zone=servers // 3,
         gateways_per_zone=gateways // 3,
     )
-    world.settle()
-    play = crashplay.CrashPlay(world)
+    world.bootstrap()
+    play = traffic_simulation.TrafficSimulation(world)
     play.asked_at = {}
     send(play, 3.0)
     return play
 
 
-def send(play: crashplay.CrashPlay, seconds: float, seed: int = 5) -> None:
+def send(
+    play: traffic_simulation.TrafficSimulation, seconds: float, seed: int = 5
+) -> None:
     """Has callers send requests at random moments to random gateways."""
     limitfaults.send(play, seconds, random.Random(seed))
 
 
-def list_used(play: crashplay.CrashPlay) -> list[str]:
+def list_used(play: traffic_simulation.TrafficSimulation) -> list[str]:
     """Returns the open heads that got requests, in order."""
     heads = sorted({server.name for server in play.world.list_open()})
     return [head for head in heads if play.list_arrivals(head)]
 
 
-def find_most_in_pause(play: crashplay.CrashPlay) -> int:
+def find_most_in_pause(play: traffic_simulation.TrafficSimulation) -> int:
     """Returns the most requests of a gateway in one pause that it was asked."""
     arrivals = {
         refusal.server: play.list_arrivals(refusal.server)
@@ -63,7 +65,9 @@
     )
 
 
-def list_late(play: crashplay.CrashPlay) -> list[tuple[float, str, str]]:
+def list_late(
+    play: traffic_simulation.TrafficSimulation,
+) -> list[tuple[float, str, str]]:
     """Returns requests that reached a leaving server too late.
 
     Each with the time, the gateway and the server.
@@ -78,7 +82,9 @@
     return sorted(found)
 
 
-def find_restart(play: crashplay.CrashPlay, node: str) -> float:
+def find_restart(
+    play: traffic_simulation.TrafficSimulation, node: str
+) -> float:
     """Returns when the present life of a gateway was first asked something."""
     boots = [at for at, name in play.world.starts if name == node]
     return boots[-1]
--- a/tests/support/operator.py
+++ b/tests/support/operator_actions.py
@@ -5,33 +5,33 @@
 from typing import TYPE_CHECKING
 
 from hickorylead.configuration import changes, model
-from hickorylead.roles import nodes, seam
+from hickorylead.roles import interface, nodes
 
 if TYPE_CHECKING:
-    from support.world import World
+    from support.simulation import Simulation
 
 
-def found_cluster(world: World) -> None:
+def bootstrap_cluster(world: Simulation) -> None:
     """Starts the configuration log and waits until it takes changes."""
     node = world.entries[0]
     world.run(0.5)
-    world.give(node, seam.FoundingAsked("cluster-1"))
-    world.run_until(lambda: "cluster-1" in world.foundings)
-    assert world.foundings["cluster-1"].done
+    world.deliver(node, interface.BootstrapRequested("cluster-1"))
+    world.run_until(lambda: "cluster-1" in world.bootstraps)
+    assert world.bootstraps["cluster-1"].done
     world.run_until(lambda: find_leader(world))
 
 
-def find_leader(world: World) -> str:
+def find_leader(world: Simulation) -> str:
     """Returns the control process that leads the log now, if one does."""
     for node in world.controls:
         role = world.roles.get(node)
-        if role and role.voter and role.voter.leads(world.now):
+        if role and role.voter and role.voter.is_ready_leader(world.now):
             return node
     return ""
 
 
 def submit(
-    world: World,
+    world: Simulation,
     operation: changes.Operation,
     *,
     change_id: str = "",
@@ -48,11 +48,11 @@
         )
     change_id = change_id or f"change-{len(world.outcomes)}-{world.now:.3f}"
     change = changes.Change(change_id, expected, operation)
-    world.give(node, seam.ChangeSubmitted(change))
+    world.deliver(node, interface.ChangeSubmitted(change))
     return change_id
 
 
-def apply(world: World, operation: changes.Operation, **options) -> int:
+def apply(world: Simulation, operation: changes.Operation, **options) -> int:
     """Submits a change, waits until it is accepted, returns the version."""
     change_id = submit(world, operation, **options)
     world.run_until(lambda: change_id in world.outcomes)
@@ -62,7 +62,7 @@
 
 
 def set_up(
-    world: World,
+    world: Simulation,
     *,
     replicas: int = 2,
     group_size: int = 2,
@@ -78,7 +78,7 @@
             calls may run at most once.
     """
     world.group_size = group_size
-    found_cluster(world)
+    bootstrap_cluster(world)
     apply(
         world,
         changes.ApplyService(
@@ -112,7 +112,7 @@
     )
 
 
-def count_replicas(world: World, node: str, zone: str = "") -> int:
+def count_replicas(world: Simulation, node: str, zone: str = "") -> int:
     """Returns how many replicas an entry may use."""
     role = world.roles.get(node)
     if role is None:
@@ -124,7 +124,7 @@
     )
 
 
-def list_holders(world: World, zone: str) -> list[str]:
+def list_lease_holders(world: Simulation, zone: str) -> list[str]:
     """Returns the control processes of a zone that may give orders."""
     return [
         node
--- a/tests/support/planning.py
+++ b/tests/support/planning.py
@@ -14,38 +14,38 @@
 
 from hickorylead.configuration import document
 from hickorylead.fleet import (
-    former as former_module,
+    group_builder as group_builder_module,
     instances,
     orders,
     planner as planner_module,
 )
-from support import replicas
+from support import simulated_servers
 
-ENGINE = document.Engine(
+ENGINE = document.EngineProfile(
     slots=8,
-    kv_tokens=100_000,
-    step_s=0.006,
-    step_per_request_s=0.0005,
-    step_per_token_s=0.0,
-    read_s=1 / 46000,
-    chunk_tokens=2048,
-    stride=5,
+    kv_cache_tokens=100_000,
+    decode_step_s=0.006,
+    decode_step_per_request_s=0.0005,
+    decode_step_per_context_token_s=0.0,
+    prefill_per_token_s=1 / 46000,
+    prefill_chunk_tokens=2048,
+    steps_per_event=5,
     models=(
-        document.ModelFigures("large", 3, 0.6, 1.0, 1.5, 0.5),
-        document.ModelFigures("small", 2, 0.4, 0.6, 1.5, 0.5),
+        document.ModelProfile("large", 3, 0.6, 1.0, 1.5, 0.5),
+        document.ModelProfile("small", 2, 0.4, 0.6, 1.5, 0.5),
     ),
-    loads_per_s=4.0,
+    max_load_starts_per_s=4.0,
 )
 SERVICE = document.Service("model", engine=ENGINE)
 SIZES = {m.name: m.group_size for m in ENGINE.models}
 
 
-class BrokenPromise(AssertionError):
+class InvariantViolation(AssertionError):
     """A group was not whole, or a server worked for two groups."""
 
 
 @attrs.define
-class Seat:
+class PlannerNode:
     """One planner with what it has seen."""
 
     planner: planner_module.Planner
@@ -72,22 +72,22 @@
         self.now = 100.0
         self.planner_class = planner_class
         self.seats = [
-            Seat(self._make_planner(planner_class, n)) for n in (1, 2)
+            PlannerNode(self._make_planner(planner_class, n)) for n in (1, 2)
         ]
-        self.servers: dict[str, replicas.Replica] = {}
+        self.servers: dict[str, simulated_servers.SimulatedServer] = {}
         self.count = 0
         for _ in range(size):
             self._add_server()
         # Members that were ready under a group's name, epoch and list.
         self.was_ready: dict[tuple[str, int, tuple[str, ...]], set[str]] = {}
-        self.late: list[tuple[float, orders.Give]] = []
+        self.late: list[tuple[float, orders.SendOrder]] = []
         self.opened = 0
 
     def _make_planner(self, planner_class, number):
         return planner_class(
             number=number,
-            policy=former_module.Policy(),
-            life=f"{self.rng.getrandbits(24):x}",
+            policy=group_builder_module.StandbyPolicy(),
+            start_id=f"{self.rng.getrandbits(24):x}",
         )
 
     def _restart(self) -> None:
@@ -101,7 +101,7 @@
     def _add_server(self) -> None:
         self.count += 1
         name = f"i{self.count}"
-        self.servers[name] = replicas.Replica(
+        self.servers[name] = simulated_servers.SimulatedServer(
             name, staged=[self.rng.choice(["large", "small"])]
         )
 
@@ -135,7 +135,7 @@
             if self.rng.random() < 0.6:
                 self._plan(seat)
 
-    def _advance(self, server: replicas.Replica) -> None:
+    def _advance(self, server: simulated_servers.SimulatedServer) -> None:
         before = server.member.state
         if not server.advance(self.now):
             if self.rng.random() < 0.1:
@@ -152,8 +152,8 @@
             self._check_open(server)
         self._tell(server)
 
-    def _tell(self, server: replicas.Replica) -> None:
-        told = server.tell()
+    def _tell(self, server: simulated_servers.SimulatedServer) -> None:
+        told = server.make_heartbeat()
         for seat in self.seats:
             if self.now < seat.deaf_until:
                 continue
@@ -175,7 +175,7 @@
         name = self.births.choice(sorted(self.servers))
         former = self.servers[name]
         former.alive = False
-        self.servers[name] = replicas.Replica(
+        self.servers[name] = simulated_servers.SimulatedServer(
             name, staged=list(former.staged), born=round(self.now * 1000)
         )
         self._tell(self.servers[name])
@@ -185,7 +185,7 @@
         server.phase = instances.PHASE_DRAINING
         self._tell(server)
 
-    def _plan(self, seat: Seat) -> None:
+    def _plan(self, seat: PlannerNode) -> None:
         for name in seat.seen:
             if name not in self.servers and self.rng.random() < 0.1:
                 seat.lost.add(name)
@@ -202,11 +202,11 @@
             now=self.now,
         )
         for item in given:
-            if isinstance(item, orders.AskReport):
+            if isinstance(item, orders.RequestReport):
                 server = self.servers.get(item.name)
                 accepted = server.accepted if server else None
                 born = server.born if server else 0
-                seat.planner.take_report(
+                seat.planner.handle_report(
                     orders.ReportArrived(
                         item.name,
                         accepted,
@@ -219,7 +219,7 @@
                 continue
             self._send(seat, item)
 
-    def _send(self, seat: Seat, give: orders.Give) -> None:
+    def _send(self, seat: PlannerNode, give: orders.SendOrder) -> None:
         chance = self.rng.random()
         if chance < 0.08:
             at = self.now + self.rng.uniform(2.0, 12.0)
@@ -230,17 +230,17 @@
             return
         status = self._carry_out(give)
         if status and self.rng.random() < 0.9:
-            seat.planner.take_answer(
+            seat.planner.handle_response(
                 orders.OrderAnswered(give.name, give.order, status)
             )
 
-    def _carry_out(self, give: orders.Give) -> int:
+    def _carry_out(self, give: orders.SendOrder) -> int:
         server = self.servers.get(give.name)
         if server is None:
             return 0
         before = server.member
         old_members = server.members
-        status = server.take(give.order, give.expected, self.now)
+        status = server.apply_order(give.order, give.expected, self.now)
         if status == 202 and isinstance(give.order, orders.Join):
             self._check_join(server, before, old_members)
         if status < 300:
@@ -256,22 +256,26 @@
         head = self.servers.get(old_members[0])
         if head is None or head.name == server.name:
             if before.state == instances.GROUP_OPEN:
-                raise BrokenPromise(f"{server.name} serves and joins another")
+                raise InvariantViolation(
+                    f"{server.name} serves and joins another"
+                )
             return
         found = (head.member.group, head.member.epoch)
         if found == (before.group, before.epoch) and (
             head.member.state == instances.GROUP_OPEN
         ):
-            raise BrokenPromise(f"{server.name} joins while its head serves")
+            raise InvariantViolation(
+                f"{server.name} joins while its head serves"
+            )
 
-    def _check_open(self, head: replicas.Replica) -> None:
+    def _check_open(self, head: simulated_servers.SimulatedServer) -> None:
         """A group serves only once each member was ready under its list."""
         key = (head.member.group, head.member.epoch, head.members)
         if len(head.members) != SIZES[head.model]:
-            raise BrokenPromise(f"{head.member.group} has a wrong size")
+            raise InvariantViolation(f"{head.member.group} has a wrong size")
         missing = set(head.members) - self.was_ready.get(key, set())
         if missing:
-            raise BrokenPromise(f"{head.member.group} lacks {missing}")
+            raise InvariantViolation(f"{head.member.group} lacks {missing}")
 
     def _check(self) -> None:
         members: dict[str, str] = {}
@@ -294,14 +298,16 @@
                         and alive.member.group == s.member.group
                     ]
                     if len(heads) > 1:
-                        raise BrokenPromise(f"{name} serves two groups")
+                        raise InvariantViolation(f"{name} serves two groups")
 
 
-def explore(first: int, count: int, *, steps: int = 100, **options) -> int:
+def run_schedules(
+    first: int, count: int, *, steps: int = 100, **options
+) -> int:
     """Plays schedules; returns how often a group was opened.
 
     Raises:
-        BrokenPromise: In some schedule a promise was broken; the message
+        InvariantViolation: In some schedule a promise was broken; the message
             names its seed.
     """
     opened = 0
@@ -309,7 +315,7 @@
         schedule = Schedule(seed, **options)
         try:
             schedule.run(steps)
-        except BrokenPromise as error:
-            raise BrokenPromise(f"seed {seed}: {error}") from error
+        except InvariantViolation as error:
+            raise InvariantViolation(f"seed {seed}: {error}") from error
         opened += schedule.opened
     return opened
--- a/tests/support/platformday.py
+++ b/tests/support/platform_cluster.py
@@ -76,7 +76,7 @@
     }
 
 
-class Day:
+class PlatformCluster:
     """Three coordinators, a gateway and backend servers."""
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -92,7 +92,7 @@
         seeds = tuple(f"127.0.7.{n}:{PEER_PORT}" for n in (1, 2, 3))
         self._tasks: list[asyncio.Task] = []
         self.coordinators = [
-            coordinator.CoordinatorShell(
+            coordinator.CoordinatorProcess(
                 coordinator.Settings(
                     vm=f"core{number}",
                     zone=zone,
@@ -102,12 +102,12 @@
                     peer_port=PEER_PORT,
                     seeds=seeds,
                     metrics_port=METRICS_PORT,
-                    may_found=True,
+                    may_bootstrap=True,
                     data_folder=str(folder / zone),
                     heartbeat_s=0.2,
-                    lost_disks=1,
+                    max_lost_disks=1,
                 ),
-                dialect=servers.Servers(),
+                dialect=servers.PlatformServerCodec(),
                 read_document=documents.read_packed,
                 make_app=control.make_app,
                 reload=lambda: None,
@@ -115,7 +115,7 @@
             )
             for number, zone in enumerate(ZONES, start=1)
         ]
-        self.gateway = gateway.GatewayShell(
+        self.gateway = gateway.GatewayProcess(
             gateway.Settings(
                 vm="front1",
                 zone="z1",
@@ -127,7 +127,7 @@
                 metrics_port=METRICS_PORT,
                 grace_s=3.0,
             ),
-            dialect=headers.Headers(),
+            dialect=headers.PlatformHeaderCodec(),
             read_document=documents.read_packed,
             reload=lambda: None,
             log=log,
@@ -142,7 +142,7 @@
         self._tasks = [asyncio.ensure_future(s.run()) for s in shells]
         await self.wait_for(
             lambda: any(
-                c.role.voter.leads(clock.read_boottime())
+                c.role.voter.is_ready_leader(clock.read_boottime())
                 for c in self.coordinators
             )
         )
@@ -152,7 +152,7 @@
         for number in range(2):
             await self._add(f"p{number}", "desk", 30 + number, None)
         await self.configure(3)
-        await self.wait_for(lambda: len(self.list_open()) == 2)
+        await self.wait_for(lambda: len(self.list_model_replicas()) == 2)
         await self.wait_for(
             lambda: len(self.gateway.role._view.list_replicas("desk", "")) == 2
         )
@@ -184,28 +184,32 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    def list_open(self) -> list:
+    def list_model_replicas(self) -> list:
         """Returns the replicas of the model that the gateway offers."""
         return self.gateway.role._view.list_replicas("models", MODEL)
 
-    def find(self, name: str) -> platform.PlatformServer:
+    def find_server(self, name: str) -> platform.PlatformServer:
         """Returns a backend server."""
         return next(s for s in self.servers if s.name == name)
 
     async def configure(self, version: int, **changes) -> int:
         """Sends a configuration and waits until the gateway has it."""
         body = make_configuration(version, **changes)
-        return await self.replace(orjson.dumps(body))
+        return await self.replace_configuration(orjson.dumps(body))
 
-    async def replace(self, body: bytes, control_number: int = 0) -> int:
+    async def replace_configuration(
+        self, body: bytes, control_number: int = 0
+    ) -> int:
         """Sends a body as a configuration; returns the status."""
         status = await platform.post_json(
             self.controls[control_number], "/config/replace", body
         )
-        self.note("operator", f"replaces: {status}")
+        self.record("operator", f"replaces: {status}")
         return status
 
-    async def call(self, path: str, body: bytes = b"", **extra: str) -> bytes:
+    async def send_request(
+        self, path: str, body: bytes = b"", **extra: str
+    ) -> bytes:
         """Sends a request as a caller; returns the raw answer."""
         fields = {
             "Host": "host.example",
@@ -218,14 +222,14 @@
         }
         head = "".join(f"{k}: {v}\r\n" for k, v in fields.items())
         request = f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
-        self.note("caller", f"POST {path}")
-        answer = await platform.ask(self.caller_address, request)
+        self.record("caller", f"POST {path}")
+        answer = await platform.send_raw(self.caller_address, request)
         for line in answer.decode("latin-1").splitlines():
             if line:
-                self.note("caller", f"< {line}")
+                self.record("caller", f"< {line}")
         return answer
 
-    def note_received(self, since: dict[str, int]) -> None:
+    def record_received(self, since: dict[str, int]) -> None:
         """Notes what backend servers were sent since a time."""
         for server in self.servers:
             for got in server.received[since.get(server.name, 0) :]:
@@ -235,13 +239,13 @@
                     if k not in ("content-length", "host")
                 }
                 fields = ", ".join(f"{k}={v}" for k, v in kept.items())
-                self.note("server", f"{got.method} {got.target} {fields}")
+                self.record("server", f"{got.method} {got.target} {fields}")
 
     def count_received(self) -> dict[str, int]:
         """Returns how many requests each server has got."""
         return {s.name: len(s.received) for s in self.servers}
 
-    def note(self, side: str, text: str) -> None:
+    def record(self, side: str, text: str) -> None:
         """Adds a line to the record."""
         text = re.sub(r"time-budget=\d+", "time-budget=N", text)
         text = re.sub(r"(seal\.|expect-instance=)[mp]\d", r"\1SERVER", text)
@@ -254,10 +258,10 @@
         return "\n".join(self.lines) + "\n"
 
 
-async def play(session) -> str:
+async def run_session(session) -> str:
     """Plays a session on a day of its own; returns the record."""
     with tempfile.TemporaryDirectory() as folder:
-        day = Day(pathlib.Path(folder))
+        day = PlatformCluster(pathlib.Path(folder))
         try:
             await day.start()
             day.lines.clear()
@@ -270,21 +274,23 @@
 # The sessions.
 
 
-async def play_stream(day: Day) -> None:
+async def run_stream(day: PlatformCluster) -> None:
     """A stream from a replica of two servers."""
     since = day.count_received()
     for server in day.servers:
         server.manner.events = 3
-    await day.call("/drafts/one", b"words", Model=MODEL, Token_Count="5,9")
-    day.note_received(since)
+    await day.send_request(
+        "/drafts/one", b"words", Model=MODEL, Token_Count="5,9"
+    )
+    day.record_received(since)
     head = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-    answer = await platform.ask(f"127.0.7.9:{METRICS_PORT}", head)
+    answer = await platform.send_raw(f"127.0.7.9:{METRICS_PORT}", head)
     for line in answer.decode().splitlines():
         if 'le="+Inf"' in line or line.startswith("hickorylead_replicas"):
-            day.note("metrics", line)
+            day.record("metrics", line)
 
 
-async def play_resumed_stream(day: Day) -> None:
+async def run_resumed_stream(day: PlatformCluster) -> None:
     """A stream whose replica resets it in the middle of its third event."""
     since = day.count_received()
     chosen = []
@@ -293,7 +299,9 @@
         server.manner.cut_after = 3
     # Only the first one asked breaks off.
     answering = asyncio.ensure_future(
-        day.call("/drafts/one", b"words", Model=MODEL, Token_Count="5,9")
+        day.send_request(
+            "/drafts/one", b"words", Model=MODEL, Token_Count="5,9"
+        )
     )
     await day.wait_for(
         lambda: any(len(s.received) > since.get(s.name, 0) for s in day.servers)
@@ -308,30 +316,30 @@
     received = [s for s in day.servers if s.name in chosen]
     rest = [s for s in day.servers if s.name not in chosen]
     day.servers = [*received, *rest]
-    day.note_received(since)
+    day.record_received(since)
 
 
-async def play_plain_call(day: Day) -> None:
+async def run_plain_call(day: PlatformCluster) -> None:
     """Calls of a plain service: let in, refused, unknown, too large."""
     since = day.count_received()
-    await day.call("/alerts/7?x=%2f%20", b"tree", X_Kept="yes")
-    await day.call("/alerts/7", b"tree", Authorization="Token wrong")
-    await day.call("/nowhere/7", b"tree")
-    await day.call("/alerts/7", bytes(2000))
-    await day.call("/alerts/7", b"", X_Long="x" * 3000)
-    await day.call("/alerts/7", b"", Time_Budget="soon")
-    day.note_received(since)
+    await day.send_request("/alerts/7?x=%2f%20", b"tree", X_Kept="yes")
+    await day.send_request("/alerts/7", b"tree", Authorization="Token wrong")
+    await day.send_request("/nowhere/7", b"tree")
+    await day.send_request("/alerts/7", bytes(2000))
+    await day.send_request("/alerts/7", b"", X_Long="x" * 3000)
+    await day.send_request("/alerts/7", b"", Time_Budget="soon")
+    day.record_received(since)
 
 
-async def play_configuration_change(day: Day) -> None:
+async def run_configuration_change(day: PlatformCluster) -> None:
     """A change, a resend, an old version, bad ones, and a read."""
-    await day.call("/alerts/1")
+    await day.send_request("/alerts/1")
     await day.configure(7, key="key-2")
     await day.wait_for(lambda: day.gateway.role.document.version == 7)
-    await day.call("/alerts/2")
-    await day.call("/alerts/3", Authorization="Token key-2")
+    await day.send_request("/alerts/2")
+    await day.send_request("/alerts/3", Authorization="Token key-2")
     same = orjson.dumps(make_configuration(7, key="key-2"))
-    await day.replace(same, 1)
+    await day.replace_configuration(same, 1)
     await day.configure(5)
     for body in (
         same[:-9],
@@ -339,41 +347,41 @@
         orjson.dumps({**make_configuration(9), "Version": "9"}),
         orjson.dumps({**make_configuration(9), "Services": []}),
     ):
-        await day.replace(body, 2)
+        await day.replace_configuration(body, 2)
     head = b"GET /config/read HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     for address in day.controls:
-        answer = await platform.ask(address, head)
-        day.note("operator", f"reads: {answer.endswith(same)}")
+        answer = await platform.send_raw(address, head)
+        day.record("operator", f"reads: {answer.endswith(same)}")
 
 
-async def play_leaving_replica(day: Day) -> None:
+async def run_leaving_replica(day: PlatformCluster) -> None:
     """A server of a replica drains; another one leaves for good."""
-    head = day.list_open()[0].name
-    server = day.find(head)
+    head = day.list_model_replicas()[0].name
+    server = day.find_server(head)
     server.state = "draining"
-    day.note("server", f"drains: {await server.tell()}")
+    day.record("server", f"drains: {await server.send_heartbeat()}")
     await day.wait_for(
-        lambda: all(r.name != head for r in day.list_open()), 1.0
+        lambda: all(r.name != head for r in day.list_model_replicas()), 1.0
     )
     before = len(server.received)
     for other in day.servers:
         other.manner.events = 1
     for _ in range(3):
-        await day.call("/drafts/x", b"", Model=MODEL, Token_Count="5,9")
-    day.note("server", f"got after that: {len(server.received) - before}")
-    plain = day.find("p0")
-    day.note("server", f"leaves: {await plain.deregister()}")
+        await day.send_request("/drafts/x", b"", Model=MODEL, Token_Count="5,9")
+    day.record("server", f"got after that: {len(server.received) - before}")
+    plain = day.find_server("p0")
+    day.record("server", f"leaves: {await plain.deregister()}")
     await day.wait_for(
         lambda: len(day.gateway.role._view.list_replicas("desk", "")) == 1
     )
     plain.stop()
-    await day.call("/alerts/9", b"still")
+    await day.send_request("/alerts/9", b"still")
 
 
 SESSIONS = {
-    "stream": play_stream,
-    "resumed_stream": play_resumed_stream,
-    "plain_call": play_plain_call,
-    "configuration_change": play_configuration_change,
-    "leaving_replica": play_leaving_replica,
+    "stream": run_stream,
+    "resumed_stream": run_resumed_stream,
+    "plain_call": run_plain_call,
+    "configuration_change": run_configuration_change,
+    "leaving_replica": run_leaving_replica,
 }
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -19,7 +19,7 @@
 }
 
 
-def ask(vm, body=None, **headers):
+def send_chat(vm, body=None, **headers):
     """Sends a chat completion through an entry."""
     return deployment_module.call(
         "POST",
@@ -72,10 +72,10 @@
     deployment.operate("preset", "apply", "ordinary", "--share", *shares)
     deployment.operate("preset", "apply", "maintenance")
     deployment.operate("preset", "switch", "ordinary")
-    wait_for_service(deployment)
+    wait_until_serving(deployment)
 
 
-def wait_for_service(deployment: deployment_module.Deployment) -> None:
+def wait_until_serving(deployment: deployment_module.Deployment) -> None:
     """Waits until all replicas serve and all entries are ready."""
     deployment_module.wait_until(
         lambda: deployment.count_serving("assistant") == 6, "replicas serve"
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -41,8 +41,8 @@
     service_s: float = 0.05
     # The pause that it asks for as it turns each request away, and when it did
     # so to which entry.
-    turns_away_s: float | None = None
-    turned_away: list[tuple[float, str]] = attrs.field(factory=list)
+    refusal_retry_after_s: float | None = None
+    refusals: list[tuple[float, str]] = attrs.field(factory=list)
 
     @property
     def state(self) -> announcements.ServerState:
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -11,12 +11,12 @@
 from hickorylead.configuration import changes
 from hickorylead.requests import events
 from hickorylead.roles import nodes
-from support import deployments, operator, processes
+from support import deployments, operator_actions, processes
 
 _KEPT_HEADERS = ("content-type", "retry-after", "idempotency-replayed")
 
 
-class Record:
+class Transcript:
     """Lines of a session, with what differs from run to run replaced."""
 
     def __init__(self) -> None:
@@ -53,9 +53,9 @@
         return replace
 
 
-def play_ordinary_day(context) -> str:
+def run_ordinary_day(context) -> str:
     """Plays a session with real processes."""
-    deployment, record = context.deployment, Record()
+    deployment, record = context.deployment, Transcript()
     first, last = deployment.vms[0], deployment.vms[-1]
 
     def operate(*arguments: str) -> None:
@@ -79,8 +79,8 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    show(processes.ask(first, stream, Priority="u=0"), "stream, urgent")
-    show(processes.ask(last), "whole answer")
+    show(processes.send_chat(first, stream, Priority="u=0"), "stream, urgent")
+    show(processes.send_chat(last), "whole answer")
     key = demo.make_key()
     for vm in (first, last):
         order = deployment_module.call(
@@ -106,16 +106,16 @@
         lambda: deployment.count_serving("assistant") == 0, "all drained"
     )
     deployment_module.wait_until(
-        lambda: processes.ask(last).status == 503, "entries know"
+        lambda: processes.send_chat(last).status == 503, "entries know"
     )
-    show(processes.ask(last), "whole answer, in maintenance")
+    show(processes.send_chat(last), "whole answer, in maintenance")
     operate("preset", "switch", "ordinary")
-    processes.wait_for_service(deployment)
-    show(processes.ask(last), "whole answer, after maintenance")
+    processes.wait_until_serving(deployment)
+    show(processes.send_chat(last), "whole answer, after maintenance")
     return record.render()
 
 
-def _watch(world, record: Record) -> None:
+def _watch(world, record: Transcript) -> None:
     """Records what the servers are ordered and what they run."""
     carry_out, open_attempt = world._order, world._open
 
@@ -139,23 +139,24 @@
     world._order, world._open = order, attempt
 
 
-def _show_answer(record: Record, answer, what: str) -> None:
-    if isinstance(answer.final, events.Refuse):
-        problem = answer.final.problem
+def _show_answer(record: Transcript, answer, what: str) -> None:
+    if isinstance(answer.final_effect, events.Refuse):
+        problem = answer.final_effect.problem
         text = (
             f"{problem.status} {problem.code}, {problem.verdict.value}, retry"
             f" after {problem.retry_after_s}"
         )
     else:
         text = (
-            f"{type(answer.final).__name__} {len(answer.text.split())} tokens"
+            f"{type(answer.final_effect).__name__}"
+            f" {len(answer.text.split())} tokens"
         )
     record.add("caller", f"{what}: {text}")
 
 
-def play_lost_member(_) -> str:
+def run_lost_member(_) -> str:
     """Plays a session in given time."""
-    world, record = deployments.build(seed=11), Record()
+    world, record = deployments.build(seed=11), Transcript()
     _watch(world, record)
     answer = world.submit(world.entries[0], "assistant", max_tokens=80)
     world.run(1.0)
@@ -175,22 +176,22 @@
     record.add(
         "operator",
         f"replicas of {zone}:"
-        f" {operator.count_replicas(world, world.entries[0], zone)}",
+        f" {operator_actions.count_replicas(world, world.entries[0], zone)}",
     )
     world.run(30)
     record.add("server", f"{vm}: group {world.servers[vm].state.group or '-'}")
     return record.render()
 
 
-def play_cut_zone(_) -> str:
+def run_cut_zone(_) -> str:
     """Plays a session in given time."""
-    world, record = deployments.build(seed=12), Record()
+    world, record = deployments.build(seed=12), Transcript()
     _watch(world, record)
     zone = world.zones[0]
     inside = next(n for n in world.entries if nodes.get_zone(n) == zone)
     outside = world.entries[-1]
     record.add("operator", f"{zone} is cut off")
-    world.cut_zone(zone)
+    world.isolate_zone(zone)
     world.run(6)
     chat = world.submit(inside, "assistant", max_tokens=20)
     orders = [
@@ -199,7 +200,9 @@
     ]
     for name, node in (("inside", inside), ("outside", outside)):
         drain = changes.DrainVm(f"vm-{name}", True)
-        operator.submit(world, drain, change_id=f"change-{name}", node=node)
+        operator_actions.submit(
+            world, drain, change_id=f"change-{name}", node=node
+        )
     world.run(8)
     _show_answer(record, chat, "stream inside")
     _show_answer(record, orders[0], "work order inside")
@@ -231,7 +234,7 @@
 
 
 SESSIONS = {
-    "ordinary day": play_ordinary_day,
-    "lost member": play_lost_member,
-    "cut zone": play_cut_zone,
+    "ordinary day": run_ordinary_day,
+    "lost member": run_lost_member,
+    "cut zone": run_cut_zone,
 }
--- a/tests/support/replicas.py
+++ b/tests/support/simulated_servers.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class Replica:
+class SimulatedServer:
     """One life of a backend server.
 
     Attributes:
@@ -49,7 +49,7 @@
     loads: list[float] = attrs.field(factory=list)
     born: int = 0
 
-    def tell(self) -> instances.Instance:
+    def make_heartbeat(self) -> instances.Instance:
         """Returns its next heartbeat."""
         self.sequence += 1
         return instances.Instance(
@@ -91,7 +91,7 @@
             changed = True
         return changed
 
-    def take(
+    def apply_order(
         self, order: orders.Order, expected: int | None, now: float
     ) -> int:
         """Carries out an order; returns the status of the answer."""
--- a/tests/support/world.py
+++ b/tests/support/simulation.py
@@ -19,7 +19,7 @@
 from hickorylead.membership import announcements
 from hickorylead.placement import orders, planner
 from hickorylead.requests import events, model
-from hickorylead.roles import control, entry, nodes, seam
+from hickorylead.roles import control, entry, interface, nodes
 from hickorylead.verdict import Verdict
 from hickorylead_standins import batch
 from support import servers as servers_module
@@ -34,32 +34,32 @@
 
 
 @attrs.define
-class Answer:
+class CallerResult:
     """What one caller has got."""
 
     request: model.Request
     entry: str
-    asked_at: float
+    submitted_at: float
     text: str = ""
-    final: Any = None
+    final_effect: Any = None
     ended_at: float | None = None
 
     @property
     def verdict(self) -> Verdict | None:
         """The verdict; None while there is no final answer."""
-        if isinstance(self.final, events.Refuse):
-            return self.final.problem.verdict
-        return Verdict.RAN if self.final is not None else None
+        if isinstance(self.final_effect, events.Refuse):
+            return self.final_effect.problem.verdict
+        return Verdict.RAN if self.final_effect is not None else None
 
     @property
     def code(self) -> str:
         """Code of the problem; empty if there is none."""
-        if isinstance(self.final, events.Refuse):
-            return self.final.problem.code
+        if isinstance(self.final_effect, events.Refuse):
+            return self.final_effect.problem.code
         return ""
 
 
-class World:
+class Simulation:
     """All nodes, servers, disks and wires."""
 
     def __init__(
@@ -78,12 +78,12 @@
         self.policy = policy
         self.max_skew_s = max_skew_s
         self.controls = tuple(
-            nodes.name_node(zone, f"vm{v + 1}", nodes.CONTROL)
+            nodes.make_node_name(zone, f"vm{v + 1}", nodes.CONTROL)
             for zone in zones
             for v in range(controls_per_zone)
         )
         self.entries = tuple(
-            nodes.name_node(zone, f"vm{v + 1}", nodes.ENTRY)
+            nodes.make_node_name(zone, f"vm{v + 1}", nodes.ENTRY)
             for zone in zones
             for v in range(vms)
         )
@@ -91,33 +91,33 @@
         self.roles: dict[str, Any] = {}
         self.lives: collections.Counter[str] = collections.Counter()
         self.disks: dict[str, list] = {}
-        self.disk_lives: collections.Counter[str] = collections.Counter()
+        self.disk_incarnations: collections.Counter[str] = collections.Counter()
         self.paused: dict[str, float] = {}
         self.skew: dict[str, float] = collections.defaultdict(float)
         self.cuts: set[tuple[str, str]] = set()
         # Bodies that end the server which runs them, soon after they begin.
-        self.deadly: set[bytes] = set()
+        self.crashing_bodies: set[bytes] = set()
         self.group_size = 2
         self.loss = 0.0
         self.delay_s = 0.001
         self.jitter_s = 0.0005
         self.order_delay: Callable[[orders.Order], float] = lambda _: 0.002
         self.servers: dict[str, servers_module.Server] = {}
-        self.answers: dict[str, Answer] = {}
-        self.outcomes: dict[str, seam.AnswerChange] = {}
-        self.statuses: dict[str, seam.AnswerStatus] = {}
-        self.foundings: dict[str, seam.AnswerFounding] = {}
+        self.answers: dict[str, CallerResult] = {}
+        self.outcomes: dict[str, interface.AnswerChange] = {}
+        self.statuses: dict[str, interface.AnswerStatus] = {}
+        self.bootstraps: dict[str, interface.AnswerBootstrap] = {}
         self.stopped: set[str] = set()
         self.applied: dict[str, int] = {}
         self.in_force: dict[str, int] = collections.Counter()
-        self.checkers: list[Callable[[World], None]] = []
+        self.checkers: list[Callable[[Simulation], None]] = []
         self.log: list[str] = []
         self.steps = 0
         # What the present step touched, for the checkers.
         self.touched: list[str] = []
         self.new_runs: list[tuple[servers_module.Server, Any]] = []
-        self.ended: list[Answer] = []
-        self.attempts: list[events.OpenAttempt] = []
+        self.ended: list[CallerResult] = []
+        self.attempts: list[events.StartAttempt] = []
         self.run_ids: set[str] = set()
         # When a member left a group: time, group, generation, rank.
         self.departed: list[tuple[float, str, int, int]] = []
@@ -131,14 +131,14 @@
 
     # Time.
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def call_at(self, when: float, action: Callable[[], None]) -> None:
         """Does something at a time."""
         self._sequence += 1
         heapq.heappush(self._queue, (when, self._sequence, action))
 
-    def after(self, delay_s: float, action: Callable[[], None]) -> None:
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
         """Does something after a delay."""
-        self.at(self.now + delay_s, action)
+        self.call_at(self.now + delay_s, action)
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
@@ -186,7 +186,7 @@
         else:
             incarnation = ""
             if node in self.voters:
-                incarnation = f"i{self.disk_lives[node]}"
+                incarnation = f"i{self.disk_incarnations[node]}"
             self.roles[node] = control.Control(
                 control.Identity(node, self.controls, incarnation),
                 policy=self.policy,
@@ -196,21 +196,23 @@
                 now=self.now,
                 wall=self.get_wall(node),
             )
-        self.after(self.rng.random() * seam.TICK_S, self._tick(node, life))
+        self.call_later(
+            self.rng.random() * interface.TICK_S, self._tick(node, life)
+        )
 
     def kill(self, node: str) -> None:
         """Ends a process at once."""
         self.roles.pop(node, None)
         self.applied.pop(node, None)
         for answer in self.answers.values():
-            if answer.entry == node and answer.final is None:
-                answer.final = "entry died"
+            if answer.entry == node and answer.final_effect is None:
+                answer.final_effect = "entry died"
 
-    def lose_disk(self, node: str) -> None:
+    def wipe_disk(self, node: str) -> None:
         """Ends a process and empties its disk."""
         self.kill(node)
         self.disks[node] = []
-        self.disk_lives[node] += 1
+        self.disk_incarnations[node] += 1
 
     def pause(self, node: str, seconds: float) -> None:
         """Stops a process for a time; it does not notice."""
@@ -220,16 +222,16 @@
         def tick() -> None:
             if self.lives[node] != life or node not in self.roles:
                 return
-            self.give(node, seam.Tick(self.get_wall(node)))
-            self.after(seam.TICK_S, tick)
+            self.deliver(node, interface.Tick(self.get_wall(node)))
+            self.call_later(interface.TICK_S, tick)
 
         return tick
 
-    def give(self, node: str, event: Any) -> None:
+    def deliver(self, node: str, event: Any) -> None:
         """Gives an event to a node, once it is not paused."""
         resume = self.paused.get(node, 0.0)
         if self.now < resume:
-            self.at(resume, lambda: self.give(node, event))
+            self.call_at(resume, lambda: self.deliver(node, event))
             return
         role = self.roles.get(node)
         if role is None:
@@ -240,17 +242,17 @@
 
     def _carry_out(self, node: str, effect: Any) -> None:
         match effect:
-            case seam.Send(to, message):
+            case interface.Send(to, message):
                 self.send(node, to, message)
             case consensus_messages.Persist(record):
                 self.disks[node].append(record)
-            case orders.Give(order):
+            case orders.SendOrder(order):
                 if self.roles[node].may_order(self.now):
-                    self.after(
+                    self.call_later(
                         self.order_delay(order),
                         lambda: self._order(node, order),
                     )
-            case events.OpenAttempt():
+            case events.StartAttempt():
                 self.attempts.append(effect)
                 self._open(node, effect)
             case events.CancelAttempt(attempt_id, request_id, replica, stop):
@@ -263,20 +265,20 @@
                 self.answers[request_id].text += text
             case (
                 events.FinishStream(request_id)
-                | events.GiveAnswer(request_id)
+                | events.SendResponse(request_id)
                 | events.Refuse(request_id)
             ):
                 answer = self.answers[request_id]
-                assert answer.final is None, "two final answers"
-                answer.final, answer.ended_at = effect, self.now
+                assert answer.final_effect is None, "two final answers"
+                answer.final_effect, answer.ended_at = effect, self.now
                 self.ended.append(answer)
-            case seam.AnswerChange(change_id):
+            case interface.AnswerChange(change_id):
                 self.outcomes[change_id] = effect
-            case seam.AnswerStatus(token):
+            case interface.AnswerStatus(token):
                 self.statuses[token] = effect
-            case seam.AnswerFounding(cluster):
-                self.foundings[cluster] = effect
-            case seam.Stopped():
+            case interface.AnswerBootstrap(cluster):
+                self.bootstraps[cluster] = effect
+            case interface.Stopped():
                 self.stopped.add(node)
 
     # The network.
@@ -290,17 +292,17 @@
         )
         return any(pair in self.cuts for pair in pairs)
 
-    def cut(self, one: str, other: str, *, one_way: bool = False) -> None:
+    def partition(self, one: str, other: str, *, one_way: bool = False) -> None:
         """Cuts two nodes or zones from each other."""
         self.cuts.add((one, other))
         if not one_way:
             self.cuts.add((other, one))
 
-    def cut_zone(self, zone: str) -> None:
+    def isolate_zone(self, zone: str) -> None:
         """Cuts a zone from all others."""
         for other in self.zones:
             if other != zone:
-                self.cut(zone, other)
+                self.partition(zone, other)
 
     def heal(self) -> None:
         """Mends all cuts."""
@@ -316,11 +318,13 @@
             self.is_cut(source, target) or self.rng.random() < self.loss
         ):
             return
-        self.after(
+        self.call_later(
             self._flight_s(),
-            lambda: self.give(
+            lambda: self.deliver(
                 target,
-                seam.MessageArrived(source, message, self.get_wall(target)),
+                interface.MessageArrived(
+                    source, message, self.get_wall(target)
+                ),
             ),
         )
 
@@ -329,7 +333,7 @@
     def add_server(self, server: servers_module.Server) -> None:
         """Starts a backend server."""
         self.servers[server.state.vm] = server
-        self.after(self.rng.random(), lambda: self._announce(server))
+        self.call_later(self.rng.random(), lambda: self._announce(server))
 
     def add_engines(
         self, zone: str, count: int, *, domain_size: int, **options: Any
@@ -381,7 +385,7 @@
         }
         return len(ranks) == state.size
 
-    def revive_server(self, vm: str) -> None:
+    def restart_server(self, vm: str) -> None:
         """Starts a backend server again, empty."""
         old = self.servers[vm]
         state = attrs.evolve(
@@ -404,14 +408,14 @@
             failure = events.AttemptFailed(
                 attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
-            self.after(
+            self.call_later(
                 self._flight_s(),
-                lambda n=node, f=failure: self.give(n, f),
+                lambda n=node, f=failure: self.deliver(n, f),
             )
         server.streams.clear()
 
     def _announce(self, server: servers_module.Server) -> None:
-        self.after(1.0, lambda: self._announce(server))
+        self.call_later(1.0, lambda: self._announce(server))
         if not server.is_up(self.now):
             return
         if server.loaded_at is not None and self.now >= server.loaded_at:
@@ -426,8 +430,8 @@
                     server.batch.running, server.batch.queued
                 )
                 announcement = announcements.Announcement(server.state, load)
-                event = seam.AnnouncementArrived(announcement)
-                self.give(node, event)
+                event = interface.AnnouncementArrived(announcement)
+                self.deliver(node, event)
                 return
 
     def _order(self, node: str, order: orders.Order) -> None:
@@ -451,7 +455,7 @@
             self._break_streams(server)
         if server.state.phase == announcements.PHASE_LOADING:
             server.loaded_at = self.now + server.load_s
-            self.at(server.loaded_at, lambda: self._finish_load(server))
+            self.call_at(server.loaded_at, lambda: self._finish_load(server))
 
     def _finish_load(self, server: servers_module.Server) -> None:
         if server.loaded_at is not None and self.now >= server.loaded_at:
@@ -469,29 +473,31 @@
         key_age_s: float = 0.0,
         max_tokens: int = 10,
         **fields: Any,
-    ) -> Answer:
+    ) -> CallerResult:
         """Submits a request to an entry; returns where its answer comes."""
         self._requests += 1
-        request_id = nodes.name_request(node, self.lives[node], self._requests)
+        request_id = nodes.make_request_id(
+            node, self.lives[node], self._requests
+        )
         fields.setdefault("body", f"prompt {self._requests}".encode())
         fields.setdefault("workspace", "homeowners")
         request = model.Request(
             request_id=request_id,
             service=service,
-            key=key,
-            key_made_at=START_WALL + self.now - key_age_s if key else 0.0,
+            idempotency_key=key,
+            key_created_at=START_WALL + self.now - key_age_s if key else 0.0,
             max_tokens=max_tokens,
             **fields,
         )
-        answer = Answer(request, node, self.now)
+        answer = CallerResult(request, node, self.now)
         self.answers[request_id] = answer
         if node not in self.roles:
-            answer.final = "entry died"
+            answer.final_effect = "entry died"
             return answer
-        self.give(node, events.Arrive(request, self.get_wall(node)))
+        self.deliver(node, events.RequestArrived(request, self.get_wall(node)))
         return answer
 
-    def _open(self, node: str, attempt: events.OpenAttempt) -> None:
+    def _open(self, node: str, attempt: events.StartAttempt) -> None:
         server = self.servers[attempt.replica.vm]
         vm = server.state.vm
         if self.is_cut(node, vm) or not server.alive:
@@ -499,36 +505,42 @@
             failure = events.AttemptFailed(
                 attempt.attempt_id, Verdict.NOT_RUN, "unreachable"
             )
-            self.after(delay_s, lambda: self.give(node, failure))
+            self.call_later(delay_s, lambda: self.deliver(node, failure))
             return
-        self.after(self._flight_s(), lambda: self._serve(node, attempt))
+        self.call_later(self._flight_s(), lambda: self._serve(node, attempt))
 
     def _end_under(
-        self, server: servers_module.Server, attempt: events.OpenAttempt
+        self, server: servers_module.Server, attempt: events.StartAttempt
     ) -> None:
         if server.alive and attempt.attempt_id in server.streams:
             self.kill_server(server.state.vm)
 
-    def _serve(self, node: str, attempt: events.OpenAttempt) -> None:
+    def _serve(self, node: str, attempt: events.StartAttempt) -> None:
         server = self.servers[attempt.replica.vm]
         if not server.alive:
             failure = events.AttemptFailed(
                 attempt.attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
-            self.after(self._flight_s(), lambda: self.give(node, failure))
+            self.call_later(
+                self._flight_s(), lambda: self.deliver(node, failure)
+            )
             return
-        if server.turns_away_s is not None:
-            server.turned_away.append((self.now, node))
+        if server.refusal_retry_after_s is not None:
+            server.refusals.append((self.now, node))
             refusal = events.AttemptFailed(
                 attempt.attempt_id,
                 Verdict.NOT_RUN,
                 "busy",
-                server.turns_away_s,
+                server.refusal_retry_after_s,
+            )
+            self.call_later(
+                self._flight_s(), lambda: self.deliver(node, refusal)
             )
-            self.after(self._flight_s(), lambda: self.give(node, refusal))
             return
         if self.now < server.paused_until:
-            self.at(server.paused_until, lambda: self._serve(node, attempt))
+            self.call_at(
+                server.paused_until, lambda: self._serve(node, attempt)
+            )
             return
         request = attempt.request
         if attempt.attach:
@@ -552,28 +564,35 @@
             refusal = events.AttemptFailed(
                 attempt.attempt_id, Verdict.NOT_RUN, "wrong_group"
             )
-            self.after(self._flight_s(), lambda: self.give(node, refusal))
+            self.call_later(
+                self._flight_s(), lambda: self.deliver(node, refusal)
+            )
             return
         if not server.is_plain and not self._is_whole(server):
             failure = events.AttemptFailed(
                 attempt.attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
-            self.after(self._flight_s(), lambda: self.give(node, failure))
+            self.call_later(
+                self._flight_s(), lambda: self.deliver(node, failure)
+            )
             return
         run = servers_module.Run(
-            request.request_id, attempt.attempt_id, request.key, self.now
+            request.request_id,
+            attempt.attempt_id,
+            request.idempotency_key,
+            self.now,
         )
         server.runs.append(run)
         self.new_runs.append((server, run))
         self.run_ids.add(request.request_id)
-        if request.key:
-            self.key_runs[request.key] += 1
+        if request.idempotency_key:
+            self.key_runs[request.idempotency_key] += 1
         server.streams[attempt.attempt_id] = (node, request.request_id)
-        if request.body in self.deadly:
-            self.after(0.1, lambda: self._end_under(server, attempt))
+        if request.body in self.crashing_bodies:
+            self.call_later(0.1, lambda: self._end_under(server, attempt))
             return
         if server.is_plain:
-            self.after(
+            self.call_later(
                 server.service_s, lambda: self._answer_plain(server, attempt)
             )
             return
@@ -584,14 +603,14 @@
                 urgency=request.urgency,
                 prompt_tokens=request.prompt_tokens,
                 max_tokens=request.max_tokens,
-                prefixes=request.prefixes,
+                prefixes=request.prefix_hashes,
                 position=attempt.position,
             )
         )
         self._step(server)
 
     def _answer_plain(
-        self, server: servers_module.Server, attempt: events.OpenAttempt
+        self, server: servers_module.Server, attempt: events.StartAttempt
     ) -> None:
         found = server.streams.pop(attempt.attempt_id, None)
         if found is None or self.is_cut(server.state.vm, found[0]):
@@ -603,7 +622,9 @@
             "text/plain",
             b"run for " + attempt.request.body,
         )
-        self.after(self._flight_s(), lambda: self.give(found[0], answer))
+        self.call_later(
+            self._flight_s(), lambda: self.deliver(found[0], answer)
+        )
 
     def _step(self, server: servers_module.Server) -> None:
         if server.stepping:
@@ -612,11 +633,11 @@
         if not step_s:
             return
         server.stepping = True
-        self.after(step_s, lambda: self._end_step(server))
+        self.call_later(step_s, lambda: self._end_step(server))
 
     def _end_step(self, server: servers_module.Server) -> None:
         if self.now < server.paused_until:
-            self.at(server.paused_until, lambda: self._end_step(server))
+            self.call_at(server.paused_until, lambda: self._end_step(server))
             return
         server.stepping = False
         if not server.alive:
@@ -650,6 +671,6 @@
             "length" if frame.is_last else "",
         )
         # One connection keeps its order, so there is no jitter here.
-        self.after(self.delay_s, lambda: self.give(node, arrived))
+        self.call_later(self.delay_s, lambda: self.deliver(node, arrived))
         if frame.is_last:
             server.streams.pop(attempt_id, None)
--- a/tests/support/takeovers.py
+++ b/tests/support/takeovers.py
@@ -10,7 +10,7 @@
 import random
 
 from hickorylead.fleet import instances
-from support import fleetworld
+from support import fleet_simulation
 
 # Time with random faults, then without, in seconds.
 FAULTS_S = 24.0
@@ -22,13 +22,13 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"takeovers {seed}")
-        self.world = fleetworld.FleetWorld(
+        self.world = fleet_simulation.FleetSimulation(
             seed=seed,
             servers_per_zone=9,
             domain_size=9,
             coordinators_per_zone=self.rng.choice((1, 2)),
         )
-        self.world.settle()
+        self.world.bootstrap()
         self.added_servers = 0
 
     def run(self) -> list[str]:
@@ -40,8 +40,8 @@
             self._inject_fault()
         world.heal()
         for node in list(world.frozen):
-            world.thaw(node)
-        for node in world.core:
+            world.unfreeze(node)
+        for node in world.coordinator_names:
             if node not in world.coordinators:
                 world.start(node)
         world.run(RECOVERY_S)
@@ -49,7 +49,7 @@
 
     def _inject_fault(self) -> None:
         world, rng = self.world, self.rng
-        node = rng.choice(world.core)
+        node = rng.choice(world.coordinator_names)
         match rng.choices(
             (
                 "one-way cut",
@@ -63,25 +63,25 @@
             (5, 2, 2, 1, 4, 4, 4),
         )[0]:
             case "one-way cut":
-                for other in world.core:
-                    world.one_way_cuts.add((node, other))
-                world._at(
+                for other in world.coordinator_names:
+                    world.one_way_partitions.add((node, other))
+                world.call_at(
                     rng.uniform(2.0, 7.0),
                     lambda: self._heal_one_way_cuts(node),
                 )
             case "cut":
-                for other in world.core:
+                for other in world.coordinator_names:
                     if other != node:
-                        world.cut(node, other)
-                world._at(rng.uniform(2.0, 7.0), world.heal)
+                        world.partition(node, other)
+                world.call_at(rng.uniform(2.0, 7.0), world.heal)
             case "freeze":
                 world.frozen.add(node)
                 wait_s = rng.uniform(0.5, 4.0)
-                world._at(wait_s, lambda: world.thaw(node))
+                world.call_at(wait_s, lambda: world.unfreeze(node))
             case "kill":
                 world.kill(node)
                 wait_s = rng.uniform(0.1, 4.0)
-                world._at(wait_s, lambda: self._start_if_stopped(node))
+                world.call_at(wait_s, lambda: self._start_if_stopped(node))
             case "replace":
                 server = self._choose_server()
                 world.crash(server.name)
@@ -91,15 +91,15 @@
             case "drain":
                 server = self._choose_server()
                 server.phase = instances.PHASE_DRAINING
-                world._tell(server)
+                world.send_heartbeat(server)
                 self._add_server(server.zone)
                 wait_s = rng.uniform(1.0, 3.0)
-                world._at(wait_s, lambda: self._crash_if_alive(server.name))
+                world.call_at(wait_s, lambda: self._crash_if_alive(server.name))
 
     def _heal_one_way_cuts(self, node: str) -> None:
         world = self.world
-        for other in world.core:
-            world.one_way_cuts.discard((node, other))
+        for other in world.coordinator_names:
+            world.one_way_partitions.discard((node, other))
 
     def _start_if_stopped(self, node: str) -> None:
         if node not in self.world.coordinators:
@@ -117,7 +117,7 @@
             self.world.crash(name)
 
 
-def explore(first: int, count: int) -> list[str]:
+def run_schedules(first: int, count: int) -> list[str]:
     """Runs schedules; returns their conflicting joins, each with its seed."""
     return [
         f"seed {seed}: {join}"
--- a/tests/support/crashplay.py
+++ b/tests/support/traffic_simulation.py
@@ -9,7 +9,7 @@
 from hickorylead.fleet import instances
 from hickorylead.forwarding import events, model
 from hickorylead.verdict import Verdict
-from support import fleetworld
+from support import fleet_simulation
 
 STEP_S = 0.01
 # From the sending of a request to the moment at which its run ends its
@@ -19,8 +19,8 @@
 EVENTS = 5
 # A server that ended is replaced by an empty one after this, in seconds.
 REPLACED_S = 2.5
-OK = model.Head(200, is_sealed=True)
-ROUTES = {r.name: r for r in fleetworld.make_document(1).routes}
+OK = model.ResponseHead(200, is_signed=True)
+ROUTES = {r.name: r for r in fleet_simulation.make_document(1).routes}
 
 
 @attrs.define
@@ -77,10 +77,10 @@
     pause_s: float | None = None
 
 
-class CrashPlay:
+class TrafficSimulation:
     """Plays the callers and the replicas of a fleet."""
 
-    def __init__(self, world: fleetworld.FleetWorld) -> None:
+    def __init__(self, world: fleet_simulation.FleetSimulation) -> None:
         """Makes a play.
 
         Args:
@@ -111,7 +111,7 @@
         # Whether the caller of such a body leaves once its run is lost.
         self.leaves_early = False
 
-    def ask(
+    def submit(
         self, gateway: str, body: bytes, *, last_event: int = 0
     ) -> Submission:
         """Sends a request to a gateway."""
@@ -121,12 +121,12 @@
         route = ROUTES["drafts"]
         request = model.Request(
             request_id=name,
-            terms=model.Terms(
+            metadata=model.RequestMetadata(
                 f"try-{name}",
                 budget_s=route.timeout_s,
                 model="large",
                 prompt_tokens=100,
-                last_event=last_event,
+                last_event_id=last_event,
             ),
             route=route,
             service="model",
@@ -137,7 +137,7 @@
             body=body,
             urgency=1,
         )
-        self.world.apply(gateway, events.Arrived(request))
+        self.world.apply(gateway, events.RequestArrived(request))
         self._follow()
         return submission
 
@@ -189,7 +189,9 @@
             if run.submission is submission:
                 self._fail(run, Verdict.MAY_HAVE_RUN, "reset")
 
-    def refuse(self, submission: Submission, head: model.Head) -> None:
+    def refuse_submission(
+        self, submission: Submission, head: model.ResponseHead
+    ) -> None:
         """Has the server that runs a submission refuse it."""
         for run in list(self._runs.values()):
             if run.submission is submission:
@@ -211,7 +213,7 @@
 
     def _take(self, node: str, effect: events.Effect) -> None:
         match effect:
-            case events.Open(request, attempt, replica):
+            case events.StartAttempt(request, attempt, replica):
                 submission = self.submissions[request.request_id]
                 run = _Run(submission, attempt, replica.name, self.world.now)
                 if self.turned_away in ("", node):
@@ -221,7 +223,7 @@
                     self._fail(run, Verdict.NOT_RUN, "unreachable")
                 else:
                     submission.sent.append((self.world.now, replica.name))
-            case events.Cancel(request_id, attempt):
+            case events.CancelAttempt(request_id, attempt):
                 self._runs.pop((request_id, attempt), None)
             case events.Refuse(request_id, status, reason, retry_after_s):
                 submission = self.submissions[request_id]
@@ -229,7 +231,7 @@
                 submission.reason = reason
                 submission.retry_after_s = retry_after_s
                 submission.ended_at = self.world.now
-            case events.Finish(request_id):
+            case events.FinishResponse(request_id):
                 self.submissions[request_id].status = 200
             case _:
                 pass
@@ -247,7 +249,7 @@
             if run.submission.body in self.deadly:
                 self.end_server(run.server)
                 if self.leaves_early:
-                    left = events.CallerLeft(run.submission.name)
+                    left = events.CallerDisconnected(run.submission.name)
                     self._tell(run.submission.gateway, left)
                 continue
             if age_s >= RUN_S + 0.1 * run.given:
@@ -261,32 +263,37 @@
             self._begin(run, head)
         run.given += 1
         data = b"id: %d\ndata: x\n\n" % run.given
-        self._tell(gateway, events.PieceCame(name, run.attempt, data))
+        self._tell(gateway, events.ChunkArrived(name, run.attempt, data))
         if run.given == EVENTS:
             self._runs.pop((name, run.attempt), None)
-            self._tell(gateway, events.Ended(name, run.attempt))
+            self._tell(gateway, events.ResponseCompleted(name, run.attempt))
 
     def _refuse(self, run: _Run, pause_s: float) -> None:
         gateway = run.submission.gateway
         refusal = Refusal(self.world.now, run.server, gateway, pause_s)
         self.refusals.append(refusal)
         self._begin(
-            run, model.Head(503, not_run=True, retry_after_s=pause_s or None)
+            run,
+            model.ResponseHead(
+                503, not_run=True, retry_after_s=pause_s or None
+            ),
         )
 
-    def _begin(self, run: _Run, head: model.Head) -> None:
+    def _begin(self, run: _Run, head: model.ResponseHead) -> None:
         name, gateway = run.submission.name, run.submission.gateway
         is_leaving = run.server in self.leaving
         if is_leaving:
             told = (gateway, run.server)
             self.told_leaving.setdefault(told, self.world.now)
-        head = attrs.evolve(head, echo=f"try-{name}", is_leaving=is_leaving)
-        self._tell(gateway, events.Began(name, run.attempt, head))
+        head = attrs.evolve(
+            head, echoed_attempt_id=f"try-{name}", is_leaving=is_leaving
+        )
+        self._tell(gateway, events.ResponseHeadArrived(name, run.attempt, head))
 
     def _fail(self, run: _Run, verdict: Verdict, reason: str) -> None:
         name = run.submission.name
         self._runs.pop((name, run.attempt), None)
-        failed = events.Failed(name, run.attempt, verdict, reason)
+        failed = events.AttemptFailed(name, run.attempt, verdict, reason)
         self._tell(run.submission.gateway, failed)
 
     def _tell(self, gateway: str, event: events.Event) -> None:
