--- a/src/hickorylead/fleet/__init__.py
+++ b/src/hickorylead/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas that tell of themselves, the groups they form, and their repair."""
+"""Backend servers, the replica groups they form, and group repair."""
--- a/src/hickorylead/fleet/descriptions.py
+++ b/src/hickorylead/fleet/descriptions.py
@@ -1,4 +1,4 @@
-"""Log lines about backend servers and the orders they are given."""
+"""Log lines about backend servers and the orders sent to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def describe_change(
     instance: instances.Instance, known: instances.Instance | None
 ) -> notes.Note:
-    """Returns the line about what a server told that was new."""
+    """Returns the log line about a change in a server's reported state."""
     member = instance.member
     return notes.note(
         "instance_changed",
@@ -38,7 +38,7 @@
 def describe_order(
     item: orders.SendOrder | orders.RequestReport,
 ) -> list[notes.Note]:
-    """Returns the lines about an order; questions have none."""
+    """Returns the log lines about an order; report requests have none."""
     if isinstance(item, orders.RequestReport):
         return []
     fields = attrs.asdict(item.order)
--- a/src/hickorylead/fleet/divergence.py
+++ b/src/hickorylead/fleet/divergence.py
@@ -1,53 +1,61 @@
-"""Notices that two nodes know different things for longer than a moment."""
+"""Detects nodes whose state stays different from this node's state."""
 
 from __future__ import annotations
 
 import attrs
 
-# Two nodes may differ for a moment, while news are on the way. Everything is
-# told anew only if they still differ after this, in seconds.
-DIFFER_S = 0.7
-RESEND_S = 1.5
+# Two nodes may differ for a moment while updates are in transit. A full sync is
+# sent only if they still differ after this, in seconds.
+MISMATCH_GRACE_S = 0.7
+# Shortest time between two full syncs to one node, in seconds. A digest that
+# still changes postpones the first one for no longer than this.
+RESEND_INTERVAL_S = 1.5
 
 
 @attrs.define
 class _Difference:
-    check: int
+    digest: int
     since: float
-    told_at: float = -1e9
+    sent_at: float = -1e9
 
 
 class DivergenceDetector:
-    """Nodes whose hash is not ours, by name."""
+    """Nodes whose digest differs from this node's, by name."""
 
     def __init__(self) -> None:
-        """Makes a view in which nobody differs."""
-        self._found: dict[str, _Difference] = {}
+        """Makes a detector without differing nodes."""
+        self._differences: dict[str, _Difference] = {}
 
     def clear(self, node: str) -> None:
-        """Takes that a node is told what it lacks in another way."""
-        self._found.pop(node, None)
+        """Clears a node that gets the missing state in another way."""
+        self._differences.pop(node, None)
 
     def needs_full_sync(
-        self, node: str, theirs: int, ours: int, now: float
+        self, node: str, node_digest: int, own_digest: int, now: float
     ) -> bool:
-        """Says whether a node must be told everything anew.
+        """Returns whether a node must be sent a full sync.
 
-        A message that was lost would leave it wrong for ever; the hash shows
-        it, whatever was lost.
+        A lost message would leave the node's state permanently wrong.
+        Comparing digests detects this, whichever message was lost.
         """
-        if theirs == ours:
+        if node_digest == own_digest:
             self.clear(node)
             return False
-        found = self._found.get(node)
-        if found is None:
-            self._found[node] = _Difference(theirs, now)
+        difference = self._differences.get(node)
+        if difference is None:
+            self._differences[node] = _Difference(node_digest, now)
             return False
-        if found.check != theirs and now - found.since < RESEND_S:
-            # It still changes, so news reach it.
-            found.check = theirs
+        if (
+            difference.digest != node_digest
+            and now - difference.since < RESEND_INTERVAL_S
+        ):
+            # Its digest still changes, so updates do reach it.
+            difference.digest = node_digest
             return False
-        if now - found.since < DIFFER_S or now - found.told_at < RESEND_S:
+        if (
+            now - difference.since < MISMATCH_GRACE_S
+            or now - difference.sent_at < RESEND_INTERVAL_S
+        ):
             return False
-        found.told_at = now
+        difference.sent_at = now
         return True
--- a/src/hickorylead/fleet/events.py
+++ b/src/hickorylead/fleet/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of a coordinator beside messages, disk and orders."""
+"""Events and effects of a coordinator other than messages and orders."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 @attrs.frozen
 class HeartbeatArrived:
-    """Event: a backend server told of itself."""
+    """Event: a backend server sent a heartbeat."""
 
     instance: instances.Instance
 
 
 @attrs.frozen
 class InstanceLeft:
-    """Event: a backend server said that it leaves for good.
+    """Event: a backend server reported that it leaves for good.
 
     Attributes:
         name: The server.
-        born: When the life began that said so; 0 if it does not tell.
+        born: Start time of the incarnation that reported it; 0 if the server
+            does not report one.
     """
 
     name: str
@@ -30,10 +31,10 @@
 
 @attrs.frozen
 class ReplaceRequested:
-    """Event: an operator sent a whole configuration, already checked.
+    """Event: an operator sent a full configuration, already validated.
 
     Attributes:
-        token: Names the call.
+        token: Identifies the call.
         version: The operator's version.
         content: The configuration, packed.
     """
@@ -45,17 +46,17 @@
 
 @attrs.frozen
 class ReadRequested:
-    """Event: an operator asked for the newest configuration."""
+    """Event: an operator requested the newest configuration."""
 
     token: str
 
 
 @attrs.frozen
 class SaveInstances:
-    """Effect: remember the backend servers, for after a restart.
+    """Effect: persist the known backend servers, to restore after a restart.
 
     Attributes:
-        known: All that are known now.
+        known: All servers known at present.
     """
 
     known: tuple[instances.Instance, ...]
@@ -63,10 +64,10 @@
 
 @attrs.frozen
 class SaveCrashes:
-    """Effect: remember lost runs, for after a restart.
+    """Effect: persist the known lost runs, to restore after a restart.
 
     Attributes:
-        known: All that are known now, with their ages.
+        known: All lost runs known at present, with their ages.
     """
 
     known: messages.CrashNews
@@ -74,11 +75,12 @@
 
 @attrs.frozen
 class AnswerReplace:
-    """Effect: answer an operator's configuration.
+    """Effect: respond to an operator's configuration.
 
     Attributes:
-        token: Names the call.
-        accepted: True if it lasts; False if that is not known.
+        token: Identifies the call.
+        accepted: True if the configuration is durably accepted; False if that
+            is not certain.
     """
 
     token: str
@@ -87,10 +89,10 @@
 
 @attrs.frozen
 class AnswerRead:
-    """Effect: answer a read.
+    """Effect: respond to a read.
 
     Attributes:
-        token: Names the call.
+        token: Identifies the call.
         version: The operator's version; 0 if there is none.
         content: The configuration, packed; None if the newest is not known.
     """
--- a/src/hickorylead/fleet/failure_detector.py
+++ b/src/hickorylead/fleet/failure_detector.py
@@ -1,4 +1,4 @@
-"""Which backend servers are taken for dead, and why."""
+"""Detects backend servers that are dead."""
 
 from __future__ import annotations
 
@@ -11,112 +11,120 @@
 
     from hickorylead.fleet import instances, registry as registry_module
 
-# Heartbeat periods without a heartbeat after which a server is asked for its
-# state. Heartbeats spread by a tenth, and one that got no answer within its
-# second goes to the next control node.
-SILENCE_PERIODS = 1.5
-# A question that got no answer is put again after this, in seconds.
+# Heartbeat periods without a heartbeat after which a server is probed.
+# Heartbeats have a jitter of a tenth, and one that got no response within a
+# second is sent to the next control node.
+PROBE_AFTER_PERIODS = 1.5
+# A probe without a response is repeated after this, in seconds.
 PROBE_INTERVAL_S = 0.7
-# One that answered is not suspected again for this long, in seconds.
-CLEARED_S = 1.0
-# A replica that gave something to a gateway within this time is not dead,
-# whatever control nodes hear of it, in seconds: a report period of a gateway
-# and the longest pass of a replica that works.
+# A server that responded is not suspected again for this long, in seconds.
+SUSPICION_COOLDOWN_S = 1.0
+# A replica that sent output to a gateway within this time is not treated as
+# dead, even if its heartbeats or probes fail, in seconds: the report period of
+# a gateway plus the longest pass of a replica that works.
 OUTPUT_TIMEOUT_S = 0.45
 
 
 @attrs.define
 class _Suspicion:
     since: float
-    asked_at: float
-    unanswered: int = 0
-    answered_at: float = -1e9
+    probed_at: float
+    unanswered_probes: int = 0
+    responded_at: float = -1e9
 
 
 class FailureDetector:
     """Backend servers that may be dead.
 
-    A server that is silent, or whose replica gives nothing any more, is asked
-    for its state. If it does not answer that either it is taken for dead,
-    unless a gateway still gets something from its replica: then it is only
-    cut off from here, and taking its group apart would end good work.
+    A server whose heartbeats are missing, or whose replica sends no more
+    output, is probed for its state. If it does not respond to the probe either
+    it is treated as dead, unless a gateway still receives output from its
+    replica: then it is only unreachable from this node, and disbanding its
+    group would abort working requests.
     """
 
     def __init__(self, heartbeat_s: float) -> None:
-        """Makes a book without suspects.
+        """Makes a detector without suspects.
 
         Args:
-            heartbeat_s: Pause between heartbeats, in seconds.
+            heartbeat_s: Heartbeat period, in seconds.
         """
-        self.silence_s = SILENCE_PERIODS * heartbeat_s
+        self.probe_after_s = PROBE_AFTER_PERIODS * heartbeat_s
         self._suspicions: dict[str, _Suspicion] = {}
         self._cleared: dict[str, float] = {}
-        self._flows: dict[str, float] = {}
+        self._last_output_at: dict[str, float] = {}
 
     def add_suspects(
         self, members: Iterable[instances.Instance], now: float
     ) -> list[instances.Instance]:
-        """Notes suspects; returns those that are to be asked now."""
-        asked = []
+        """Adds suspects; returns those that are to be probed now."""
+        probed = []
         for member in members:
-            found = self._suspicions.get(member.name)
+            suspicion = self._suspicions.get(member.name)
             if member.silent:
                 continue
-            if found is None:
-                if now - self._cleared.get(member.name, -1e9) < CLEARED_S:
+            if suspicion is None:
+                if (
+                    now - self._cleared.get(member.name, -1e9)
+                    < SUSPICION_COOLDOWN_S
+                ):
                     continue
                 self._suspicions[member.name] = _Suspicion(now, now)
-                asked.append(member)
-            elif now - found.asked_at >= PROBE_INTERVAL_S:
-                found.asked_at = now
-                asked.append(member)
-        return asked
-
-    def handle_report(self, name: str, *, answered: bool, now: float) -> None:
-        """Takes whether a server answered the question for its state."""
-        found = self._suspicions.get(name)
-        if found is None:
+                probed.append(member)
+            elif now - suspicion.probed_at >= PROBE_INTERVAL_S:
+                suspicion.probed_at = now
+                probed.append(member)
+        return probed
+
+    def handle_report(self, name: str, *, responded: bool, now: float) -> None:
+        """Records whether a server responded to a probe."""
+        suspicion = self._suspicions.get(name)
+        if suspicion is None:
             return
-        if answered:
+        if responded:
             del self._suspicions[name]
             self._cleared[name] = now
         else:
-            found.unanswered += 1
+            suspicion.unanswered_probes += 1
 
     def clear_suspicion(self, name: str) -> None:
-        """Takes a heartbeat of a server: it lives."""
+        """Clears the suspicion of a server that sent a heartbeat."""
         self._suspicions.pop(name, None)
 
     def record_output(self, head: str, now: float) -> None:
-        """Takes that a gateway got something from a replica at a time."""
-        self._flows[head] = max(now, self._flows.get(head, now))
+        """Records when a gateway received output from a replica."""
+        self._last_output_at[head] = max(
+            now, self._last_output_at.get(head, now)
+        )
 
     def list_lost(
         self, registry: registry_module.Registry, now: float
     ) -> frozenset[str]:
-        """Returns the servers that are taken for dead."""
-        self._flows = {
-            h: t for h, t in self._flows.items() if now - t < OUTPUT_TIMEOUT_S
+        """Returns the servers that are treated as dead."""
+        self._last_output_at = {
+            h: t
+            for h, t in self._last_output_at.items()
+            if now - t < OUTPUT_TIMEOUT_S
         }
-        flowing = set()
-        for head in self._flows:
+        progressing = set()
+        for head in self._last_output_at:
             instance = registry.instances.get(head)
             if instance is not None and instance.has_group:
-                flowing.add((instance.member.group, instance.member.epoch))
+                progressing.add((instance.member.group, instance.member.epoch))
         lost = set()
-        for name, found in list(self._suspicions.items()):
+        for name, suspicion in list(self._suspicions.items()):
             instance = registry.instances.get(name)
             if instance is None:
                 del self._suspicions[name]
                 continue
             group = (instance.member.group, instance.member.epoch)
-            if found.unanswered and group not in flowing:
+            if suspicion.unanswered_probes and group not in progressing:
                 lost.add(name)
         lost.update(
             i.name
             for i in registry.list_present()
             if i.silent
-            and (i.member.group, i.member.epoch) not in flowing
-            and not registry.may_be_unheard(i.name, now)
+            and (i.member.group, i.member.epoch) not in progressing
+            and not registry.awaits_first_heartbeat(i.name, now)
         )
         return frozenset(lost)
--- a/src/hickorylead/fleet/gateways.py
+++ b/src/hickorylead/fleet/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways that a coordinator knows, and what it tells them."""
+"""The gateways that a coordinator knows, and the updates it sends them."""
 
 from __future__ import annotations
 
@@ -13,37 +13,40 @@
 if TYPE_CHECKING:
     from hickorylead.fleet import registry as registry_module
 
-# A gateway that was not heard for this long is not told any more, in seconds.
-FORGET_S = 10.0
-# Loads of a zone are told this often, in seconds.
+# A gateway that has sent no hello for this long gets no more updates, in
+# seconds.
+GATEWAY_TIMEOUT_S = 10.0
+# Loads of a zone are sent this often, in seconds.
 LOADS_PERIOD_S = 0.25
-# Gateways are told the control nodes when these change, and this often, in
-# seconds; a list of six takes 400 bytes. One that looks for a home is told each
-# time: it takes the answer for a sign of life.
-KNOWN_PERIOD_S = 5.0
+# Gateways are sent the list of control nodes when it changes, and this often,
+# in seconds; a list of six takes 400 bytes. A gateway that looks for a home
+# coordinator is sent it on each hello: it uses the reply as a liveness signal.
+COORDINATORS_PERIOD_S = 5.0
 # A gateway that holds an older configuration gets the newer one from its home
-# at once. Others send it only to one that they have seen behind for this long,
-# in seconds: 6 control nodes that all sent 30 KB to 71 gateways at each change
-# took 13 MB. Its home may be behind itself; a change is due within 2 s.
-BEHIND_S = 0.2
-# One that was sent is on its way for this long, in seconds.
+# coordinator at once. Other coordinators send it only if the gateway has been
+# outdated for this long, in seconds: when all 6 control nodes sent 30 KB to 71
+# gateways at each change, that took 13 MB. They do send it then, as the home
+# coordinator may be outdated itself and a change must arrive within 2 s.
+OUTDATED_GRACE_S = 0.2
+# A configuration that was sent counts as in transit for this long, in seconds.
 RESEND_DOCUMENT_S = 0.5
-# A gateway that has just started is sent it with each greeting: what it got
-# first may not count as recent, when the leader was not elected yet.
-RESEND_FIRST_S = 0.2
+# The same for a gateway that has no configuration yet, in seconds. It is sent
+# the configuration with each hello: the first one may not count as recent, if
+# no leader had been elected yet.
+RESEND_FIRST_DOCUMENT_S = 0.2
 
 
 @attrs.define
 class _Gateway:
     boot: int
-    heard_at: float
+    last_hello_at: float
     version: int = 0
     is_home: bool = False
     loads: tuple[messages.HeadLoad, ...] = ()
-    told_at: float = -1e9
-    told: tuple[str, ...] = ()
-    behind_since: float | None = None
-    sent_document_at: float = -1e9
+    coordinators_sent_at: float = -1e9
+    coordinators_sent: tuple[str, ...] = ()
+    outdated_since: float | None = None
+    document_sent_at: float = -1e9
 
 
 class Gateways:
@@ -57,25 +60,26 @@
         """
         self._zone = zone
         self._gateways: dict[str, _Gateway] = {}
-        self._differences = divergence.DivergenceDetector()
+        self._divergence = divergence.DivergenceDetector()
         self._next_loads = 0.0
 
     def list_all(self, now: float) -> list[str]:
-        """Returns the gateways that were heard lately."""
+        """Returns the gateways that sent a hello recently."""
         return [
             name
             for name, gateway in self._gateways.items()
-            if now - gateway.heard_at <= FORGET_S
+            if now - gateway.last_hello_at <= GATEWAY_TIMEOUT_S
         ]
 
     def list_homed(self, now: float) -> list[str]:
-        """Returns those that count on this coordinator first."""
+        """Returns the gateways whose home coordinator is this one."""
         return [n for n in self.list_all(now) if self._gateways[n].is_home]
 
     def is_home_to(self, node: str, boot: int) -> bool:
-        """Says whether a gateway counted on this coordinator when last heard.
+        """Returns whether this was a gateway's home as of its last hello.
 
-        Not one that has just started, nor one that turns here.
+        False for a gateway that has just started or is about to switch its
+        home to this coordinator.
         """
         gateway = self._gateways.get(node)
         return gateway is not None and gateway.boot == boot and gateway.is_home
@@ -89,26 +93,26 @@
         sender: str,
         now: float,
     ) -> list[tuple[str, messages.Message]]:
-        """Takes a greeting; returns what the gateway is to be told.
+        """Handles a hello; returns the messages to send to the gateway.
 
         Args:
-            hello: The greeting.
+            hello: The hello.
             registry: Backend servers that this coordinator knows.
-            known: Control nodes that it knows.
-            sender: Its name.
+            known: Control nodes that this coordinator knows.
+            sender: Name of this coordinator.
             now: Present time.
         """
-        before = self._gateways.get(hello.node)
+        previous = self._gateways.get(hello.node)
         is_new = (
-            before is None
-            or before.boot != hello.boot
-            or now - before.heard_at > FORGET_S
+            previous is None
+            or previous.boot != hello.boot
+            or now - previous.last_hello_at > GATEWAY_TIMEOUT_S
         )
-        if before is None or is_new:
-            before = _Gateway(hello.boot, now)
+        if previous is None or is_new:
+            previous = _Gateway(hello.boot, now)
         gateway = self._gateways[hello.node] = attrs.evolve(
-            before,
-            heard_at=now,
+            previous,
+            last_hello_at=now,
             version=hello.version,
             is_home=hello.is_home,
             loads=hello.loads,
@@ -116,66 +120,68 @@
         sent: list[tuple[str, messages.Message]] = []
         if (
             not hello.is_home
-            or gateway.told != known.nodes
-            or now - gateway.told_at >= KNOWN_PERIOD_S
+            or gateway.coordinators_sent != known.nodes
+            or now - gateway.coordinators_sent_at >= COORDINATORS_PERIOD_S
         ):
             sent.append((hello.node, known))
-            gateway.told_at = now
-            gateway.told = known.nodes
-        has_turned_here = hello.is_home and not before.is_home
-        if has_turned_here:
-            lacks_news = hello.check != registry.digest
+            gateway.coordinators_sent_at = now
+            gateway.coordinators_sent = known.nodes
+        has_changed_home = hello.is_home and not previous.is_home
+        if has_changed_home:
+            needs_full_sync = hello.check != registry.digest
         else:
-            lacks_news = self._lacks_news(hello, registry, now)
-        if lacks_news:
-            news = messages.InstanceNews(
+            needs_full_sync = self._needs_full_sync(hello, registry, now)
+        if needs_full_sync:
+            update = messages.InstanceNews(
                 sender, tuple(registry.instances.values()), is_full=True
             )
-            sent.append((hello.node, news))
+            sent.append((hello.node, update))
         return sent
 
-    def _lacks_news(
+    def _needs_full_sync(
         self,
         hello: messages.GatewayHello,
         registry: registry_module.Registry,
         now: float,
     ) -> bool:
-        """Says whether a gateway is told everything; its home does that."""
+        """Returns whether to send a full sync, which only its home does."""
         if not hello.is_home or registry.had_digest(hello.check, now):
-            # What it lacks is on its way, or another one sends it.
-            self._differences.clear(hello.node)
+            # The missing updates are in transit, or its home sends them.
+            self._divergence.clear(hello.node)
             return False
-        return self._differences.needs_full_sync(
+        return self._divergence.needs_full_sync(
             hello.node, hello.check, registry.digest, now
         )
 
     def needs_document(self, node: str, version: int, now: float) -> bool:
-        """Says whether a gateway is sent the configuration held here.
+        """Returns whether to send a gateway this node's configuration.
 
         Args:
-            node: The gateway, which was heard before.
-            version: The version held here.
+            node: The gateway, which has sent a hello before.
+            version: Version of this node's configuration.
             now: Present time.
         """
         gateway = self._gateways[node]
         if gateway.version >= version:
-            gateway.behind_since = None
+            gateway.outdated_since = None
             return False
-        if gateway.behind_since is None:
-            gateway.behind_since = now
-        pause_s = RESEND_DOCUMENT_S if gateway.version else RESEND_FIRST_S
-        if now - gateway.sent_document_at < pause_s:
+        if gateway.outdated_since is None:
+            gateway.outdated_since = now
+        interval_s = (
+            RESEND_DOCUMENT_S if gateway.version else RESEND_FIRST_DOCUMENT_S
+        )
+        if now - gateway.document_sent_at < interval_s:
             return False
-        is_late = now - gateway.behind_since >= BEHIND_S
-        if gateway.is_home or is_late:
-            gateway.sent_document_at = now
+        is_overdue = now - gateway.outdated_since >= OUTDATED_GRACE_S
+        if gateway.is_home or is_overdue:
+            gateway.document_sent_at = now
             return True
         return False
 
     def record_document_sent(self, nodes_sent: list[str], now: float) -> None:
-        """Takes that gateways were sent a configuration without asking."""
+        """Records that gateways were sent an unrequested configuration."""
         for node in nodes_sent:
-            self._gateways[node].sent_document_at = now
+            self._gateways[node].document_sent_at = now
 
     def tick(
         self, *, is_fresh: bool, homed_elsewhere: int, now: float
@@ -183,8 +189,8 @@
         """Returns the loads of the zone, when they are due.
 
         Args:
-            is_fresh: Whether the configuration held here is surely recent.
-            homed_elsewhere: Gateways that have another home.
+            is_fresh: Whether this node's configuration is certainly recent.
+            homed_elsewhere: Number of gateways with another home coordinator.
             now: Present time.
         """
         if now < self._next_loads:
--- a/src/hickorylead/fleet/group_builder.py
+++ b/src/hickorylead/fleet/group_builder.py
@@ -1,7 +1,7 @@
-"""What becomes of free backend servers: groups, and standbys for the next.
+"""Assigns free backend servers to groups, and keeps standbys.
 
-A group is formed of servers that have its model in memory or staged; others
-stage what is missing meanwhile. Free servers hold the models that the domain
+A group is formed from servers that have its model in memory or staged; other
+servers stage missing models meanwhile. Standbys hold the models that the domain
 will need next.
 """
 
@@ -25,17 +25,15 @@
 if TYPE_CHECKING:
     from hickorylead.configuration import document as document_module
 
-# A group whose members have not all told of themselves is given this long
-# beyond the time that its model takes to load, in seconds.
+# Time that a group's members get to report beyond its load time, in seconds.
 FORM_SLACK_S = 3.0
-# Epochs rise in steps; a planner's own number fills the rest, so that two
-# planners never use one epoch.
+# Step between epochs; a planner adds its number, so no two use the same epoch.
 EPOCH_STEP = 64
-# A planner's first epoch is this much above those that it sees: more than the
-# groups, 64 numbers each, that one forms in some minutes (about 100 in a day
-# of 60 s with a loss every 3 s).
+# A planner's first epoch is this much above those that servers report: more
+# than the groups, 64 numbers each, that one planner forms in some minutes
+# (about 100 in a simulation of 60 s with a loss every 3 s).
 EPOCH_JUMP = 256 * EPOCH_STEP
-# Groups of one that only bring weights into memory have names of their own.
+# Name prefix of groups of one server that only load weights into memory.
 WARM_UP_PREFIX = "w"
 
 GroupKey = tuple[str, int]
@@ -43,25 +41,25 @@
 
 @attrs.frozen
 class StandbyPolicy:
-    """The trade between group downtime and stranded accelerators.
+    """Trade-off between group downtime and stranded accelerators.
 
     Attributes:
-        spare_share: Share of a domain's VMs kept as warm standbys, 0 to 1. A
-            sixth: a domain of 19 VMs keeps 3 and serves two groups of 4 beside
-            one of 8; with a quarter the second one was missing, and a fifth of
-            the requests for its model came late.
+        spare_share: Share of a domain's VMs kept as warm standbys, 0 to 1. With
+            a sixth, a domain of 19 VMs keeps 3 and serves two groups of 4 and
+            one of 8; with a quarter the second group of 4 was missing, and a
+            fifth of the requests for its model were late.
     """
 
     spare_share: float = 0.16
 
 
 @attrs.define
-class Forming:
-    """A group that was ordered and does not serve yet."""
+class FormingGroup:
+    """A group whose members were ordered to join, not serving yet."""
 
     model: str
     members: tuple[str, ...]
-    began_at: float
+    started_at: float
     limit_s: float
 
 
@@ -70,12 +68,12 @@
     """One domain in one round.
 
     Attributes:
-        engine: Figures of its engines.
+        engine: Performance profile of its engines.
         present: Its servers by name.
-        living: Those that live and do not leave.
-        supply: What each model has everywhere; see `layout`.
-        serving: Groups that serve or are about to, by model.
-        groups: Those groups.
+        living: Servers that are alive and not draining.
+        supply: Supply of each model in all domains; see `layout`.
+        serving: Number of groups that serve or are about to, by model.
+        groups: Those of these groups that members report.
         leaving: Living servers of groups that end.
     """
 
@@ -92,21 +90,21 @@
     """Fencing numbers of one planner; they only rise."""
 
     def __init__(self, number: int) -> None:
-        """Makes numbers for a planner with a number of its own."""
+        """Makes the epochs of a planner with the given own number."""
         self._number = number % EPOCH_STEP
         self._highest = 0
-        self._has_any = False
+        self._has_issued = False
 
-    def note(self, epoch: int) -> None:
-        """Takes an epoch that a server tells."""
+    def record(self, epoch: int) -> None:
+        """Records an epoch that a server reports."""
         self._highest = max(self._highest, epoch)
 
-    def make(self) -> int:
-        """Returns an epoch above all that were seen."""
-        if not self._has_any:
-            # Groups that are gone by now had epochs that nobody tells of any
-            # more; servers refuse a lower one than they have seen.
-            self._has_any = True
+    def next_epoch(self) -> int:
+        """Returns an epoch above all recorded ones."""
+        if not self._has_issued:
+            # Epochs of groups that have ended are no longer reported, but
+            # servers refuse an epoch lower than their highest one.
+            self._has_issued = True
             self._highest += EPOCH_JUMP
         step = self._highest // EPOCH_STEP + 1
         self._highest = step * EPOCH_STEP + self._number
@@ -114,7 +112,7 @@
 
 
 class GroupBuilder:
-    """Forms groups of free servers, and keeps standbys."""
+    """Forms groups from free servers, and keeps standbys."""
 
     def __init__(
         self,
@@ -122,58 +120,58 @@
         epochs: Epochs,
         policy: StandbyPolicy,
         start_id: str,
-        ledger: order_tracker_module.OrderTracker,
-        standbys_book: standbys.Standbys,
+        tracker: order_tracker_module.OrderTracker,
+        standby_tracker: standbys.Standbys,
     ) -> None:
-        """Makes a former that has formed nothing.
+        """Makes a group builder that has formed no groups.
 
         Args:
             epochs: Fencing numbers.
-            policy: The trade that the operators chose.
-            start_id: Tells the planner's lives apart; a part of group names.
-            ledger: Orders that were given.
-            standbys_book: What is known of free servers.
+            policy: Trade-off between downtime and stranded accelerators.
+            start_id: Unique id of the planner's start; a part of group names.
+            tracker: Tracks the issued orders.
+            standby_tracker: Tracks the free servers.
         """
-        self.forming: dict[GroupKey, Forming] = {}
+        self.forming: dict[GroupKey, FormingGroup] = {}
         self._epochs = epochs
         self._policy = policy
-        self._life = start_id
-        self._ledger = ledger
-        self._standbys = standbys_book
+        self._start_id = start_id
+        self._tracker = tracker
+        self._standbys = standby_tracker
         self._loads = loads.LoadBudget()
         self._now = 0.0
-        self._is_started = False
+        self._has_traffic = False
 
-    def begin_round(self, *, is_started: bool, now: float) -> None:
+    def begin_round(self, *, has_traffic: bool, now: float) -> None:
         """Begins a round."""
         self._now = now
-        self._is_started = is_started
+        self._has_traffic = has_traffic
 
-    def open_loads(
+    def begin_service(
         self,
         engine: document_module.EngineProfile,
         *,
         planners: int,
-        under_way: loads.LoadsInProgress,
+        running: loads.LoadsInProgress,
     ) -> None:
-        """Begins a service: what may be loaded from its store now."""
-        if self._is_started:
+        """Begins a service: sets how many loads may start in this round."""
+        if self._has_traffic:
             self._loads.begin_round(
-                engine, planners=planners, in_progress=under_way, now=self._now
+                engine, planners=planners, in_progress=running, now=self._now
             )
         else:
-            self._loads.lift()
+            self._loads.lift_limits()
 
     def start_loads(self) -> None:
-        """Ends a service: starts the loads that are needed most."""
-        for wish in self._loads.grant():
-            if self._ledger.issue_order(
-                wish.instance, orders.Stage(wish.model)
+        """Ends a service: starts the loads with the highest priority."""
+        for request in self._loads.grant():
+            if self._tracker.issue_order(
+                request.instance, orders.Stage(request.model)
             ):
-                self._loads.spend(self._now)
+                self._loads.record_start(self._now)
 
-    def use_free(self, domain: DomainView) -> list[groups_module.Group]:
-        """Uses the free servers of a domain.
+    def assign_free(self, domain: DomainView) -> list[groups_module.Group]:
+        """Assigns the free servers of a domain to groups or standbys.
 
         Returns:
             Groups that are to be retired for a scarcer model.
@@ -183,8 +181,8 @@
             i
             for i in domain.living
             if not i.has_group
-            and not self._ledger.is_stale(i)
-            and not self._ledger.is_busy(i)
+            and not self._tracker.is_stale(i)
+            and not self._tracker.is_busy(i)
         ]
         layout = layout_module.choose_layout(
             domain.engine,
@@ -198,111 +196,111 @@
             key=lambda name: (domain.supply[name], name),
         )
         for name in missing:
-            figures = domain.engine.find_model(name)
-            assert figures is not None
-            free = self._form_or_prepare(domain, layout, figures, free, retired)
-        free = self._fill_in(domain, free)
+            profile = domain.engine.find_model(name)
+            assert profile is not None
+            free = self._form_or_prepare(domain, layout, profile, free, retired)
+        free = self._form_extra_groups(domain, free)
         self._prepare_standbys(domain, free)
-        self._stage_beside(domain)
+        self._stage_secondary_models(domain)
         return retired
 
     def _form_or_prepare(
         self,
         domain: DomainView,
         layout: collections.Counter[str],
-        figures: document_module.ModelProfile,
+        profile: document_module.ModelProfile,
         free: list[instances.Instance],
         retired: list[groups_module.Group],
     ) -> list[instances.Instance]:
-        """Forms a group, or prepares it; returns who is free for others."""
-        size = figures.group_size
-        free = self._standbys.sort(free, figures.name)
+        """Forms or prepares a group; returns the servers that remain free."""
+        size = profile.group_size
+        free = self._standbys.sort(free, profile.name)
         chosen = free[:size]
         if len(chosen) == size and (
-            not self._is_started or not self._list_cold(chosen, figures.name)
+            not self._has_traffic or not self._list_cold(chosen, profile.name)
         ):
-            contested = [i for i in chosen if self._ledger.is_contested(i)]
+            contested = [i for i in chosen if self._tracker.is_contested(i)]
             if contested:
                 return free[size:]
-            self._form(chosen, figures)
+            self._form_group(chosen, profile)
             return free[size:]
-        if not self._is_started:
+        if not self._has_traffic:
             return free
-        victims = self._find_victims(domain, layout, figures, size - len(free))
+        victims = self._find_victims(domain, layout, profile, size - len(free))
         movable = [m for group in victims for m in group.members.values()]
-        coming = [i for i in [*domain.leaving, *movable] if i in domain.living]
-        together = self._standbys.sort([*free, *coming], figures.name)[:size]
-        if len(together) < size:
+        ending = [i for i in [*domain.leaving, *movable] if i in domain.living]
+        candidates = self._standbys.sort([*free, *ending], profile.name)[:size]
+        if len(candidates) < size:
             return free
-        cold = self._list_cold(together, figures.name)
+        cold = self._list_cold(candidates, profile.name)
         for instance in cold:
-            self._wish(
-                instance, figures.name, loads.LoadPriority.GROUP, len(cold)
+            self._queue_load(
+                instance, profile.name, loads.LoadPriority.GROUP, len(cold)
             )
         if cold:
-            # Who is free serves something else meanwhile.
+            # Free servers serve another model meanwhile.
             return free
-        # The others come within seconds. Until then those who are free wait:
-        # in another group they would have to be called back.
+        # The other servers become free within seconds. Until then the free ones
+        # wait: from another group they would have to be withdrawn again.
         retired += [
             group
             for group in victims
-            if any(m in together for m in group.members.values())
+            if any(m in candidates for m in group.members.values())
         ]
-        return [i for i in free if i not in together]
+        return [i for i in free if i not in candidates]
 
     def _find_victims(
         self,
         domain: DomainView,
         layout: collections.Counter[str],
-        figures: document_module.ModelProfile,
-        lacking: int,
+        profile: document_module.ModelProfile,
+        shortfall: int,
     ) -> list[groups_module.Group]:
-        """Returns groups beyond the layout whose servers would be enough.
+        """Returns groups in excess of the layout that free enough servers.
 
         Args:
             domain: The domain.
             layout: Groups that it should have.
-            figures: The model that lacks a group.
-            lacking: Servers that are missing for it.
+            profile: The model that lacks a group.
+            shortfall: Number of servers that the group still needs.
         """
-        lacking -= len(domain.leaving)
-        beyond = domain.serving - layout
+        shortfall -= len(domain.leaving)
+        excess = domain.serving - layout
         victims = []
         for group in domain.groups:
-            if lacking <= 0:
+            if shortfall <= 0:
                 break
-            if group.model != figures.name and beyond[group.model] > 0:
-                beyond[group.model] -= 1
-                lacking -= len(group.members)
+            if group.model != profile.name and excess[group.model] > 0:
+                excess[group.model] -= 1
+                shortfall -= len(group.members)
                 victims.append(group)
         return victims
 
-    def _fill_in(
+    def _form_extra_groups(
         self, domain: DomainView, free: list[instances.Instance]
     ) -> list[instances.Instance]:
-        """Forms groups beyond the layout of servers that would stand idle.
+        """Forms groups in excess of the layout from otherwise idle servers.
 
         A model that the domain lacks may have to be loaded first, for 12 s and
-        more; until then what is free beyond the standbys serves another model.
-        Such a group is retired once its servers can form the missing one.
+        more; until then free servers other than the standbys serve another
+        model. Such a group is retired once its servers can form a missing one.
         """
         reserve = round(self._policy.spare_share * len(domain.living))
         by_need = sorted(
             domain.engine.models, key=lambda m: (domain.supply[m.name], m.name)
         )
-        for figures in by_need:
-            size = figures.group_size
+        for profile in by_need:
+            size = profile.group_size
             while len(free) - reserve >= size:
                 chosen = [
                     i
-                    for i in self._standbys.sort(free, figures.name)
-                    if self._standbys.rate(i, figures.name) != standbys.COLD
-                    and not self._ledger.is_contested(i)
+                    for i in self._standbys.sort(free, profile.name)
+                    if self._standbys.classify(i, profile.name) != standbys.COLD
+                    and not self._tracker.is_contested(i)
                 ][:size]
                 if len(chosen) < size:
                     break
-                self._form(chosen, figures)
+                self._form_group(chosen, profile)
                 free = [i for i in free if i not in chosen]
         return free
 
@@ -310,36 +308,38 @@
         self, chosen: list[instances.Instance], model: str
     ) -> list[instances.Instance]:
         return [
-            i for i in chosen if self._standbys.rate(i, model) == standbys.COLD
+            i
+            for i in chosen
+            if self._standbys.classify(i, model) == standbys.COLD
         ]
 
-    def _form(
+    def _form_group(
         self,
         chosen: list[instances.Instance],
-        figures: document_module.ModelProfile,
+        profile: document_module.ModelProfile,
     ) -> None:
-        epoch = self._epochs.make()
-        name = f"g{epoch}-{self._life}"
+        epoch = self._epochs.next_epoch()
+        name = f"g{epoch}-{self._start_id}"
         members = tuple(i.name for i in chosen)
-        cold = self._list_cold(chosen, figures.name)
-        limit_s = figures.load_s if cold else figures.staged_load_s
-        self.forming[name, epoch] = Forming(
-            figures.name, members, self._now, limit_s + FORM_SLACK_S
+        cold = self._list_cold(chosen, profile.name)
+        limit_s = profile.load_s if cold else profile.staged_load_s
+        self.forming[name, epoch] = FormingGroup(
+            profile.name, members, self._now, limit_s + FORM_SLACK_S
         )
         for instance in chosen:
-            self._ledger.issue_order(
-                instance, orders.Join(name, epoch, figures.name, members)
+            self._tracker.issue_order(
+                instance, orders.Join(name, epoch, profile.name, members)
             )
 
     def _prepare_standbys(
         self, domain: DomainView, free: list[instances.Instance]
     ) -> None:
-        """Lets standbys hold weights, so that they can stand in at once."""
+        """Loads weights on standbys, so that they can join a group at once."""
         held: collections.Counter[str] = collections.Counter(
             filter(None, (i.last_model for i in free))
         )
         for instance in sorted(free, key=lambda i: i.name):
-            if self._ledger.is_staging(instance) or not self._standbys.is_idle(
+            if self._tracker.is_staging(instance) or not self._standbys.is_idle(
                 instance, self._now
             ):
                 continue
@@ -350,50 +350,50 @@
                 continue
             model = standbys.choose_model(domain.engine, domain.serving, held)
             held[model] += 1
-            self._wish(instance, model, loads.LoadPriority.STANDBY)
+            self._queue_load(instance, model, loads.LoadPriority.STANDBY)
 
-    def _stage_beside(self, domain: DomainView) -> None:
+    def _stage_secondary_models(self, domain: DomainView) -> None:
         """Lets servers stage another model than the one in their memory.
 
-        A load takes 12 to 16 s, in which a domain loses more servers. One that
-        has a model in memory and another one staged can serve either within
-        0.2 to 1.6 s, and staging does not slow down what it serves.
+        A load takes 12 to 16 s, in which a domain loses more servers. A server
+        that has one model in memory and another one staged can serve either
+        within 0.2 to 1.6 s, and staging does not slow down its requests.
         """
         for instance in sorted(domain.living, key=lambda i: i.name):
-            warm = instance.last_model
+            loaded_model = instance.last_model
             if (
-                not warm
+                not loaded_model
                 or instance.member.state == instances.GROUP_JOINING
-                or self._ledger.is_busy(instance)
+                or self._tracker.is_busy(instance)
                 or not self._standbys.is_settled(instance, self._now)
             ):
                 continue
-            other = standbys.choose_other(domain.engine, warm)
-            if other and other not in instance.staged:
-                self._wish(instance, other, loads.LoadPriority.SECONDARY)
+            model = standbys.choose_secondary(domain.engine, loaded_model)
+            if model and model not in instance.staged:
+                self._queue_load(instance, model, loads.LoadPriority.SECONDARY)
 
-    def _wish(
+    def _queue_load(
         self,
         instance: instances.Instance,
         model: str,
-        need: loads.LoadPriority,
+        priority: loads.LoadPriority,
         missing: int = 0,
     ) -> None:
-        if not self._ledger.is_staging(instance):
+        if not self._tracker.is_staging(instance):
             self._loads.request(
-                loads.LoadRequest(instance, model, need, missing)
+                loads.LoadRequest(instance, model, priority, missing)
             )
 
     def _warm_up(self, instance: instances.Instance, model: str) -> None:
-        """Brings staged weights into memory, in a group of one.
+        """Loads staged weights into memory, in a group of one.
 
-        A server whose last group had the model joins another one of it in
-        0.2 s instead of the time to load it from its VM (1.1 to 1.6 s).
+        A server whose last group had the model joins the next such group in
+        0.2 s, instead of the time to load it from its VM (1.1 to 1.6 s).
         """
-        if self._ledger.is_contested(instance):
+        if self._tracker.is_contested(instance):
             return
-        epoch = self._epochs.make()
-        name = f"{WARM_UP_PREFIX}{epoch}-{self._life}"
-        self._ledger.issue_order(
+        epoch = self._epochs.next_epoch()
+        name = f"{WARM_UP_PREFIX}{epoch}-{self._start_id}"
+        self._tracker.issue_order(
             instance, orders.Join(name, epoch, model, (instance.name,))
         )
--- a/src/hickorylead/fleet/groups.py
+++ b/src/hickorylead/fleet/groups.py
@@ -1,4 +1,4 @@
-"""Replica groups, as their members tell of them."""
+"""Replica groups, as reported by their members."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @attrs.frozen
 class Group:
-    """The members that told of one group, under one epoch.
+    """The members that reported one group, under one epoch.
 
     Attributes:
         name: Name of the group.
-        epoch: Epoch that they told.
+        epoch: Epoch that they reported.
         members: By rank.
     """
 
@@ -31,7 +31,7 @@
 
     @property
     def head(self) -> instances.Instance | None:
-        """The member that takes the requests, if it told of itself."""
+        """The member that handles the requests, if it has reported."""
         return self.members.get(0)
 
     @property
@@ -46,7 +46,7 @@
 def collect_groups(
     present: Iterable[instances.Instance],
 ) -> dict[tuple[str, int], Group]:
-    """Returns the groups that instances tell of, by name and epoch."""
+    """Returns the groups that instances report, by name and epoch."""
     members: dict[tuple[str, int], dict[int, instances.Instance]] = (
         collections.defaultdict(dict)
     )
@@ -58,10 +58,10 @@
 
 
 def is_complete(group: Group, size: int) -> bool:
-    """Says whether every member of a group is there and has loaded.
+    """Returns whether every member of a group is present and has loaded.
 
-    Only what the members themselves tell counts: an order may have been lost
-    or overtaken by another one.
+    Only the state that the members themselves report counts: an order may have
+    been lost or overtaken by another one.
     """
     return len(group.members) == size and all(
         rank in group.members
@@ -71,13 +71,13 @@
     )
 
 
-def may_serve(group: Group, figures: document_module.ModelProfile) -> bool:
-    """Says whether new requests may be sent to the head of a group."""
+def may_serve(group: Group, profile: document_module.ModelProfile) -> bool:
+    """Returns whether new requests may be sent to the head of a group."""
     head = group.head
     return (
         head is not None
         and head.member.state == instances.GROUP_OPEN
-        and is_complete(group, figures.group_size)
+        and is_complete(group, profile.group_size)
         and all(
             member.phase == instances.PHASE_READY
             for member in group.members.values()
--- a/src/hickorylead/fleet/identity.py
+++ b/src/hickorylead/fleet/identity.py
@@ -1,4 +1,4 @@
-"""Who a coordinator is."""
+"""Identity of a coordinator."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @attrs.frozen
 class Identity:
-    """Who a coordinator is, and what its settings say.
+    """Identity and settings of a coordinator.
 
     Attributes:
         node: Its name.
         address: `ip:port` for its peers.
-        incarnation: Name of the data folder's present life.
-        seeds: Addresses of a few control nodes, for their peers.
-        may_bootstrap: Whether the whole system starts for the first time.
-        heartbeat_s: Pause between heartbeats of backend servers, in seconds.
+        incarnation: Name of the present incarnation of the data folder.
+        seeds: Peer addresses of a few control nodes.
+        may_bootstrap: Whether this is the first start of the cluster.
+        heartbeat_s: Heartbeat period of backend servers, in seconds.
         zones: All availability zones.
     """
 
--- a/src/hickorylead/fleet/instances.py
+++ b/src/hickorylead/fleet/instances.py
@@ -1,4 +1,4 @@
-"""What a backend server tells of itself, and how reports of it are merged."""
+"""State that a backend server reports, and how reports are merged."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     Attributes:
         group: Name of the group.
         epoch: Fencing number of the member list.
-        rank: Its place; rank 0 is the head, which takes the requests.
+        rank: Its place; rank 0 is the head, which handles the requests.
         state: joining, ready, open, closing or broken.
     """
 
@@ -34,29 +34,31 @@
 
 @attrs.frozen
 class Instance:
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
     Attributes:
-        name: Its id. A server may start again under the id that it had; `born`
-            tells these lives apart.
+        name: Its id. A server may restart under the same id; `born`
+            distinguishes these incarnations.
         service: Service it belongs to.
         address: `ip:port`.
         zone: Its availability zone.
         domain: Its fabric domain; empty for plain services.
-        slots: Requests that it runs at once.
+        slots: Requests that it runs concurrently.
         phase: ready, draining or gone.
-        sequence: Counts its heartbeats; tells old news from new.
+        sequence: Number of its newest heartbeat; orders its reports.
         models: Models in its memory.
         staged: Models staged on its VM.
         member: Its place in a group; an empty group name if it is in none.
         silent: Whether control nodes have missed its heartbeats for long.
         last_model: Model of its last group, which it still has in memory;
-            empty if it was in none. It does not tell this; those who saw the
-            group pass it on, so that a node that restarts knows it as well.
-        born: When this life began, in Unix milliseconds; 0 where servers do not
-            tell it, and each life has an id of its own.
-        loading: Model that a control node had it stage and that it does not
-            tell yet; empty if there is none. It does not tell this either.
+            empty if it was in none. The server does not report this; nodes
+            that observed the group forward it, so that a node that restarts
+            gets it as well.
+        born: Start time of this incarnation, in Unix milliseconds; 0 where
+            servers do not report it and each incarnation has its own id.
+        loading: Model that a control node ordered it to stage and that it does
+            not report as staged yet; empty if there is none. The server does
+            not report this either.
     """
 
     name: str
@@ -77,89 +79,89 @@
 
     @property
     def has_group(self) -> bool:
-        """Says whether it is a member of a group."""
+        """Whether it is a member of a group."""
         return bool(self.member.group)
 
 
-def is_newer(news: Instance, known: Instance | None) -> bool:
-    """Says whether news of a backend server replace what is known.
+def is_newer(update: Instance, known: Instance | None) -> bool:
+    """Returns whether an update of a backend server replaces the known state.
 
-    Heartbeats come through any control node and may be overtaken. That a life
-    has ended is never taken back: a late heartbeat of it would bring back an
-    address that now belongs to another service. Nor is that it leaves, which a
-    server may say with its answers while its heartbeats do not. A later life
-    under the same id counts its heartbeats anew; whatever is heard of the
-    former one, its number may be higher, but it is old.
+    Heartbeats arrive through any control node and may be reordered. The end of
+    an incarnation is final: a late heartbeat of it would bring back an address
+    that now belongs to another service. Draining is final as well; a server
+    may report it in its HTTP responses while its heartbeats do not. A later
+    incarnation under the same id numbers its heartbeats from the start, so
+    updates of the previous one are old even if their number is higher.
     """
     if known is None:
         return True
-    if news.born != known.born:
-        return news.born > known.born
+    if update.born != known.born:
+        return update.born > known.born
     if known.phase == PHASE_GONE:
         return False
-    if news.phase == PHASE_GONE:
+    if update.phase == PHASE_GONE:
         return True
-    if news.phase == PHASE_DRAINING and known.phase == PHASE_READY:
+    if update.phase == PHASE_DRAINING and known.phase == PHASE_READY:
         return True
-    if news.sequence != known.sequence:
-        return news.sequence > known.sequence
-    if news.silent != known.silent:
-        return news.silent
-    if news.loading and not known.loading:
+    if update.sequence != known.sequence:
+        return update.sequence > known.sequence
+    if update.silent != known.silent:
+        return update.silent
+    if update.loading and not known.loading:
         return True
-    return bool(news.last_model) and not known.last_model
+    return bool(update.last_model) and not known.last_model
 
 
-def keep_known(news: Instance, known: Instance | None) -> Instance:
-    """Returns news with what a server does not tell, as far as it is known."""
-    last_model = news.last_model
-    if known is not None and known.born != news.born:
-        # A life that begins has nothing in memory.
+def fill_unreported(update: Instance, known: Instance | None) -> Instance:
+    """Returns an update with known fields that a server does not report."""
+    last_model = update.last_model
+    if known is not None and known.born != update.born:
+        # A new incarnation has nothing in memory.
         known = None
-    if known is not None and PHASE_DRAINING in (news.phase, known.phase):
-        news = _keep_draining(news, known)
-        last_model = news.last_model
-    if news.has_group and news.models:
-        last_model = news.models[0]
+    if known is not None and PHASE_DRAINING in (update.phase, known.phase):
+        update = _keep_draining(update, known)
+        last_model = update.last_model
+    if update.has_group and update.models:
+        last_model = update.models[0]
     elif known is not None and not last_model:
         last_model = known.last_model
-    loading = news.loading or (known.loading if known is not None else "")
-    if loading in news.staged:
+    loading = update.loading or (known.loading if known is not None else "")
+    if loading in update.staged:
         loading = ""
-    return attrs.evolve(news, last_model=last_model, loading=loading)
+    return attrs.evolve(update, last_model=last_model, loading=loading)
 
 
-def _keep_draining(news: Instance, known: Instance) -> Instance:
-    """Returns news of a life that leaves, as one of them says."""
-    if news.phase == PHASE_GONE:
-        return news
-    newer = news if news.sequence >= known.sequence else known
+def _keep_draining(update: Instance, known: Instance) -> Instance:
+    """Returns the newer state of a draining server, marked as draining."""
+    if update.phase == PHASE_GONE:
+        return update
+    newer = update if update.sequence >= known.sequence else known
     return attrs.evolve(newer, phase=PHASE_DRAINING)
 
 
-def says_the_same(first: Instance, second: Instance) -> bool:
-    """Says whether two reports differ in nothing but their number."""
+def is_same_state(first: Instance, second: Instance) -> bool:
+    """Returns whether two reports differ in nothing but their sequence."""
     return attrs.evolve(first, sequence=second.sequence) == second
 
 
-def is_urgent(news: Instance, known: Instance | None) -> bool:
-    """Says whether callers feel it if gateways hear of a change a tick later.
+def is_urgent(update: Instance, known: Instance | None) -> bool:
+    """Returns whether a change must reach gateways without a tick's delay.
 
-    They do where a replica must be used no more, or can be used again: a
-    server leaves, falls silent or comes back, a group opens or ends. That
-    members join and get ready is only of use once the head is open.
+    A delay affects callers where a replica must no longer be used, or can be
+    used again: a server leaves, its heartbeats stop or resume, a group opens
+    or ends. Members that join and get ready matter only once the head is open.
     """
     if known is None:
-        return news.member.state == GROUP_OPEN
-    if news.phase != known.phase or news.silent != known.silent:
+        return update.member.state == GROUP_OPEN
+    if update.phase != known.phase or update.silent != known.silent:
         return True
-    before, after = known.member, news.member
-    if known.has_group and (before.group, before.epoch) != (
-        after.group,
-        after.epoch,
+    previous, current = known.member, update.member
+    if known.has_group and (previous.group, previous.epoch) != (
+        current.group,
+        current.epoch,
     ):
         return True
-    return before.state != after.state and after.state in (
+    return previous.state != current.state and current.state in (
         GROUP_OPEN,
         GROUP_CLOSING,
         GROUP_BROKEN,
--- a/src/hickorylead/fleet/layout.py
+++ b/src/hickorylead/fleet/layout.py
@@ -1,4 +1,4 @@
-"""Which groups a fabric domain should have, by its VMs and what is scarce."""
+"""Chooses the groups of a fabric domain by its VMs and model supply."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
     from hickorylead.configuration import document as document_module
 
-# A model that the domain serves already stays unless another one is scarcer by
-# this much of its wanted supply: a change ends a group that works, and takes
-# the time of its running requests and of a load from the VM, about 3 s.
+# A model that the domain serves already is kept unless another one is scarcer
+# by this fraction of its target supply: a change ends a working group, and
+# takes the time of its running requests and of a load from the VM, about 3 s.
 STAY_MARGIN = 0.25
 
 
@@ -22,12 +22,12 @@
     alive: int,
     spare_share: float,
 ) -> dict[str, float]:
-    """Returns what each model has of the VMs that it should have; 1 is right.
+    """Returns each model's VMs as a fraction of its target; 1 is on target.
 
     Args:
         engine: The models with their shares.
-        serving_vms: VMs that serve each model, or are about to, anywhere.
-        alive: VMs of the service that live, anywhere.
+        serving_vms: VMs that serve each model, or are about to, in all domains.
+        alive: VMs of the service that are alive, in all domains.
         spare_share: Share of VMs kept as standbys.
     """
     usable = max(1.0, alive * (1.0 - spare_share))
@@ -48,20 +48,20 @@
 ) -> collections.Counter[str]:
     """Returns how many groups of each model a domain should have.
 
-    One of each model comes first, even from the standbys, the scarcest model
-    before the others: while a domain holds both, the loss of a domain or a VM
-    leaves some of each. More follow by the models' shares, as long as the
-    standbys stay.
+    First, one group of each model is placed, starting with the scarcest model,
+    even if that uses the standbys: while each domain serves all models, the
+    loss of a domain or a VM leaves some groups of each. Further groups follow
+    by the models' shares, as long as the standbys are kept.
 
     Args:
         engine: The models.
-        alive: VMs of the domain that live.
+        alive: VMs of the domain that are alive.
         serving: Groups of the domain by model.
-        supply: What each model has everywhere; see `measure_supply`.
+        supply: Supply of each model in all domains; see `measure_supply`.
         spare_share: Share of the domain's VMs kept as standbys.
     """
     layout: collections.Counter[str] = collections.Counter()
-    left = alive
+    remaining = alive
     by_need = sorted(
         engine.models,
         key=lambda m: (
@@ -70,13 +70,13 @@
             m.name,
         ),
     )
-    for figures in by_need:
-        if figures.group_size <= left:
-            layout[figures.name] += 1
-            left -= figures.group_size
-    left -= round(spare_share * alive)
+    for profile in by_need:
+        if profile.group_size <= remaining:
+            layout[profile.name] += 1
+            remaining -= profile.group_size
+    remaining -= round(spare_share * alive)
     while True:
-        fitting = [m for m in engine.models if m.group_size <= left]
+        fitting = [m for m in engine.models if m.group_size <= remaining]
         if not fitting:
             return layout
         best = min(
@@ -87,4 +87,4 @@
             ),
         )
         layout[best.name] += 1
-        left -= best.group_size
+        remaining -= best.group_size
--- a/src/hickorylead/fleet/loads.py
+++ b/src/hickorylead/fleet/loads.py
@@ -1,4 +1,4 @@
-"""Loads from the weight store: all planners together stay within its limit."""
+"""Limits loads from the weight store across all planners."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.fleet import instances
 
-# The store counts loads over this long, in seconds.
+# Window over which the store limits the rate of loads, in seconds.
 WINDOW_S = 5.0
-# Loads that only prepare servers which serve already begin while fewer than
-# this share of the loads at once are under way anywhere: a load can't be called
-# back, and an empty server that comes a moment later would wait for one to end.
-# Servers that came empty each 3 s waited 17 s at most for a load of 14 s; when
-# each planner minded its own loads alone, 36 s.
-BESIDE_SHARE = 0.33
+# Secondary loads, for servers that serve already, start only while fewer than
+# this share of the allowed concurrent loads are in progress, counting those of
+# all planners: a load can't be cancelled, and an empty server that appears a
+# moment later would have to wait for one to end. With an empty server every
+# 3 s, the longest wait for a load of 14 s was 17 s; it was 36 s when each
+# planner counted its own loads alone.
+SECONDARY_SHARE = 0.33
 
 
 class LoadPriority(enum.IntEnum):
-    """What a load is for; the lowest goes first."""
+    """Purpose of a load; the lowest value goes first."""
 
     GROUP = 0
     STANDBY = 1
@@ -33,13 +34,13 @@
 
 @attrs.frozen
 class LoadRequest:
-    """A load that would be of use.
+    """A request for a load.
 
     Attributes:
         instance: The server.
-        model: What it should stage.
-        priority: What for.
-        missing: Loads that its group still lacks, this one included.
+        model: Model that it should stage.
+        priority: Purpose of the load.
+        missing: Loads that its group still needs, this one included.
     """
 
     instance: instances.Instance
@@ -49,17 +50,17 @@
 
     @property
     def rank(self) -> tuple[LoadPriority, int]:
-        """Its place among others; the lowest goes first."""
+        """Sort key among load requests; the lowest goes first."""
         return self.priority, self.missing
 
 
 @attrs.frozen
 class LoadsInProgress:
-    """Loads from the store that go on.
+    """Number of loads from the store in progress.
 
     Attributes:
-        own: Of servers that this planner is in charge of.
-        elsewhere: Of all other servers.
+        own: Loads of servers that this planner owns.
+        elsewhere: Loads of all other servers.
     """
 
     own: int
@@ -67,27 +68,27 @@
 
 
 class LoadBudget:
-    """Loads that one planner has started lately, and those that it may start.
+    """Loads that one planner has started recently, and those that it may start.
 
-    Each takes an equal part of what the store allows in a window, whether or
-    not it hears the others, so that planners which are cut off stay within it
-    together.
+    Each planner uses an equal share of the loads that the store allows in a
+    window, whether or not it receives messages from the others, so that
+    partitioned planners stay within the limit together.
 
-    The load this answers: servers are lost and come empty every few seconds,
-    each load takes 12 to 16 s, and the store serves 7 at full speed. Without a
-    bound on loads at once, 25 started after a restart, most of them beside a
-    model that served already; each took 40 s and more, and a third of the
-    living servers stood empty meanwhile.
+    The number of concurrent loads is limited for this case: every few seconds
+    servers are lost and empty ones appear, each load takes 12 to 16 s, and the
+    store serves 7 at full speed. Without that limit 25 loads started after a
+    restart, most of them for a secondary model; each took 40 s and more, and a
+    third of the living servers stayed empty meanwhile.
     """
 
     def __init__(self) -> None:
-        """Makes a budget of which nothing is spent."""
-        self._started: collections.deque[float] = collections.deque()
-        self._wishes: dict[str, LoadRequest] = {}
-        self._room = 0
+        """Makes a budget without started loads."""
+        self._start_times: collections.deque[float] = collections.deque()
+        self._requests: dict[str, LoadRequest] = {}
+        self._remaining = 0
         self._own = 0
-        self._at_once = math.inf
-        self._most_beside = math.inf
+        self._max_concurrent = math.inf
+        self._max_secondary = math.inf
 
     def begin_round(
         self,
@@ -100,64 +101,72 @@
         """Begins a round.
 
         Args:
-            engine: Figures of the service's engines.
-            planners: Control nodes that share the store, heard or not.
-            in_progress: Loads that go on.
+            engine: Performance profile of the service's engines.
+            planners: Control nodes that share the store, reachable or not.
+            in_progress: Loads in progress.
             now: Present time.
         """
-        self._wishes = {}
+        self._requests = {}
         self._own = in_progress.own
-        while self._started and now - self._started[0] > WINDOW_S:
-            self._started.popleft()
+        while self._start_times and now - self._start_times[0] > WINDOW_S:
+            self._start_times.popleft()
         planners = max(1, planners)
         allowed = max(
             1, int(engine.max_load_starts_per_s * WINDOW_S / planners)
         )
-        self._room = allowed - len(self._started)
+        self._remaining = allowed - len(self._start_times)
         if engine.max_concurrent_loads:
-            # What others leave, and an equal part whatever they have: one that
-            # is cut off must not wait for their loads.
-            part = math.ceil(engine.max_concurrent_loads / planners)
-            self._at_once = max(
-                part, engine.max_concurrent_loads - in_progress.elsewhere
+            # The loads that other planners leave unused, but at least an equal
+            # share: a partitioned planner must not wait for their loads.
+            equal_share = math.ceil(engine.max_concurrent_loads / planners)
+            self._max_concurrent = max(
+                equal_share, engine.max_concurrent_loads - in_progress.elsewhere
             )
-            few = math.ceil(BESIDE_SHARE * engine.max_concurrent_loads)
-            self._most_beside = few - in_progress.elsewhere
+            secondary_limit = math.ceil(
+                SECONDARY_SHARE * engine.max_concurrent_loads
+            )
+            self._max_secondary = secondary_limit - in_progress.elsewhere
         else:
-            self._at_once = self._most_beside = math.inf
+            self._max_concurrent = self._max_secondary = math.inf
 
-    def lift(self) -> None:
-        """Begins a round in which loads are free: nothing was served yet."""
-        self._wishes = {}
-        self._room = 1_000_000
-        self._at_once = self._most_beside = math.inf
+    def lift_limits(self) -> None:
+        """Begins a round without limits, before any request is served."""
+        self._requests = {}
+        self._remaining = 1_000_000
+        self._max_concurrent = self._max_secondary = math.inf
 
-    def request(self, wish: LoadRequest) -> None:
-        """Takes a load that would be of use; the best for a server counts.
+    def request(self, request: LoadRequest) -> None:
+        """Adds a load request; only the best-ranked one of a server is kept.
 
         An empty server could complete a group of four or one of two. While
-        loads are scarce, the one that lacks fewer serves callers sooner.
+        loads are scarce, the group that needs fewer loads serves callers
+        sooner.
         """
-        known = self._wishes.get(wish.instance.name)
-        if known is None or wish.rank < known.rank:
-            self._wishes[wish.instance.name] = wish
+        known = self._requests.get(request.instance.name)
+        if known is None or request.rank < known.rank:
+            self._requests[request.instance.name] = request
 
     def grant(self) -> list[LoadRequest]:
-        """Returns the loads that are to be started now, most needed first."""
+        """Returns the loads to start now, by descending priority."""
         granted: list[LoadRequest] = []
         ordered = sorted(
-            self._wishes.values(),
+            self._requests.values(),
             key=lambda w: (w.rank, w.instance.name),
         )
-        for wish in ordered:
-            is_beside = wish.priority is LoadPriority.SECONDARY
-            most = self._most_beside if is_beside else self._at_once
-            if len(granted) >= self._room or self._own + len(granted) >= most:
+        for request in ordered:
+            is_secondary = request.priority is LoadPriority.SECONDARY
+            limit = (
+                self._max_secondary if is_secondary else self._max_concurrent
+            )
+            if (
+                len(granted) >= self._remaining
+                or self._own + len(granted) >= limit
+            ):
                 break
-            granted.append(wish)
+            granted.append(request)
         return granted
 
-    def spend(self, now: float) -> None:
-        """Counts a load."""
-        self._started.append(now)
-        self._room -= 1
+    def record_start(self, now: float) -> None:
+        """Records that a load has started."""
+        self._start_times.append(now)
+        self._remaining -= 1
--- a/src/hickorylead/fleet/messages.py
+++ b/src/hickorylead/fleet/messages.py
@@ -11,13 +11,13 @@
 
 @attrs.frozen
 class InstanceNews:
-    """What a node knows of some backend servers.
+    """State of some backend servers, as known by a node.
 
     Attributes:
-        sender: Node that tells.
+        sender: Node that sends the update.
         news: The servers.
-        is_full: Whether these are all that the sender knows, and it has had
-            the time to hear all.
+        is_full: Whether these are all servers that the sender knows, and it has
+            been running for long enough to have received every heartbeat.
     """
 
     sender: str
@@ -27,14 +27,14 @@
 
 @attrs.frozen
 class Alive:
-    """Heartbeats that told nothing new, from one control node to the others.
+    """Heartbeats without changes, from one control node to the others.
 
     Attributes:
-        sender: Control node that heard them.
+        sender: Control node that received them.
         names: Backend servers.
         sequences: Number of the newest heartbeat of each.
-        since: Number of the heartbeat that last told something new of each.
-        born: When the life of each began; see `Instance`.
+        since: Number of the heartbeat of each that last reported a change.
+        born: Start time of the incarnation of each; see `Instance`.
     """
 
     sender: str
@@ -54,11 +54,11 @@
 
 @attrs.frozen
 class HeadFlow:
-    """How long ago a replica gave something to a gateway.
+    """How long ago a replica sent output to a gateway.
 
     Attributes:
-        name: Its head.
-        age_ms: In milliseconds.
+        name: Head of the replica.
+        age_ms: Time since the output, in milliseconds.
     """
 
     name: str
@@ -67,18 +67,19 @@
 
 @attrs.frozen
 class GatewayHello:
-    """A gateway tells a control node that it is there, and what it holds.
+    """Periodic report of a gateway to a control node.
 
     Attributes:
         node: Name of the gateway.
-        boot: Tells its lives apart.
+        boot: Identifies the incarnation of the gateway.
         version: Configuration version it holds.
-        check: Hash over the instances it knows.
-        is_home: Whether it takes loads and forwarded news from this node.
-        loads: Its requests by replica, only for its home.
-        stalled: Replicas whose streams all stopped lately, by head.
-        flowing: Replicas that gave something lately, by head.
-        blocked: Hash over the contents that it sends to no replica.
+        check: Digest of the instances it knows.
+        is_home: Whether the receiver is its home coordinator, which sends it
+            loads and forwarded updates.
+        loads: Its requests by replica, only for its home coordinator.
+        stalled: Replicas whose streams all stopped recently, by head.
+        flowing: Replicas that sent output recently, by head.
+        blocked: Digest of the request hashes that it sends to no replica.
     """
 
     node: str
@@ -94,10 +95,10 @@
 
 @attrs.frozen
 class StallNews:
-    """A gateway saw all its streams at some replicas stop.
+    """All streams of a gateway at some replicas have stopped.
 
     Attributes:
-        sender: Node that tells; a coordinator passes it on to its gateways.
+        sender: Node that reports it; a coordinator forwards it to its gateways.
         heads: The replicas.
     """
 
@@ -107,13 +108,14 @@
 
 @attrs.frozen
 class ZoneLoads:
-    """Requests of all gateways of a zone by replica, from their home.
+    """Requests of all gateways of a zone by replica, from their home node.
 
     Attributes:
         sender: Control node.
         loads: Sum over the gateways of the zone.
-        is_fresh: Whether the sender heard a leader with a majority lately.
-        gateways: How many gateways there are, of all zones.
+        is_fresh: Whether the sender had contact to a leader with a majority
+            recently.
+        gateways: Number of gateways in all zones.
     """
 
     sender: str
@@ -124,20 +126,20 @@
 
 @attrs.frozen
 class CoordinatorHello:
-    """A control node tells another one that it is there.
+    """Periodic report of a control node to another one.
 
     Attributes:
         node: Its name.
         address: `ip:port` for its peers.
-        incarnation: Member that it is in the configuration log.
+        incarnation: Its member id in the configuration log.
         nodes: Names of the control nodes it knows.
         addresses: Their addresses, in the same order.
-        check: Hash over the instances it knows.
-        is_empty: Whether it belongs to no cluster and may found one.
-        gateways: Gateways whose home it is.
+        check: Digest of the instances it knows.
+        is_empty: Whether it belongs to no cluster and may bootstrap one.
+        gateways: Number of gateways whose home coordinator it is.
         has_traffic: Whether callers are served: from then on loads from the
-            weight store count.
-        crashes: Hash over the lost runs that it knows.
+            weight store are limited.
+        crashes: Digest of the lost runs that it knows.
     """
 
     node: str
@@ -154,13 +156,14 @@
 
 @attrs.frozen
 class KnownCoordinators:
-    """A control node tells a gateway which control nodes there are.
+    """The control nodes, sent by a control node to a gateway.
 
     Attributes:
-        sender: Control node that tells.
+        sender: Control node that sends the list.
         nodes: Their names.
         addresses: Their addresses, in the same order.
-        is_fresh: Whether the sender heard a leader with a majority lately.
+        is_fresh: Whether the sender had contact to a leader with a majority
+            recently.
     """
 
     sender: str
@@ -177,7 +180,8 @@
         sender: Control node.
         version: The operator's version; 0 if there is none yet.
         content: The configuration, packed; empty if the receiver has it.
-        is_fresh: Whether the sender heard a leader with a majority lately.
+        is_fresh: Whether the sender had contact to a leader with a majority
+            recently.
     """
 
     sender: str
@@ -188,7 +192,7 @@
 
 @attrs.frozen
 class ReplaceRequest:
-    """A control node asks the leader to take over a configuration."""
+    """A control node's request to the leader to replace the configuration."""
 
     node: str
     token: str
@@ -198,7 +202,7 @@
 
 @attrs.frozen
 class ReplaceReply:
-    """The leader answers: accepted for good, or not for sure."""
+    """The leader's reply: durably accepted, or not certain."""
 
     token: str
     accepted: bool
@@ -206,7 +210,7 @@
 
 @attrs.frozen
 class ReadRequest:
-    """A control node asks the leader for the newest configuration."""
+    """A control node's request to the leader for the newest configuration."""
 
     node: str
     token: str
@@ -215,13 +219,14 @@
 
 @attrs.frozen
 class ReadReply:
-    """The leader answers a read.
+    """The leader's reply to a read.
 
     Attributes:
-        token: The read.
-        known: Whether the leader is sure.
+        token: Identifies the read.
+        known: Whether the leader is certain that this is the newest version.
         version: The operator's version.
-        content: The configuration, packed; empty if the asker holds it.
+        content: The configuration, packed; empty if the requester
+            holds it.
     """
 
     token: str
--- a/src/hickorylead/fleet/orders.py
+++ b/src/hickorylead/fleet/orders.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Join:
-    """Makes a server a member of a group; it loads the model if need be.
+    """Makes a server a member of a group; it loads the model if necessary.
 
     Attributes:
         group: Name of the group.
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Open:
-    """Lets the head of a group serve; nobody checks the other members."""
+    """Lets the head of a group serve; the other members are not checked."""
 
     group: str
     epoch: int
@@ -41,7 +41,7 @@
     Attributes:
         group: Name of the group.
         epoch: Its epoch.
-        cut: Whether running requests are cut off, or waited for.
+        cut: Whether running requests are aborted instead of completed.
     """
 
     group: str
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Stage:
-    """Loads a model onto the VM beside whatever it does."""
+    """Loads a model onto the VM, without interrupting its other work."""
 
     model: str
 
@@ -69,14 +69,15 @@
 
 @attrs.frozen
 class SendOrder:
-    """Effect: give an order to a server.
+    """Effect: send an order to a server.
 
     Attributes:
         name: The server.
         address: Its `ip:port`.
         order: The order.
-        expected: Orders that the server must have accepted before; it refuses
-            the order if it has accepted others. None where that is no matter.
+        expected: Number of orders that the server must have accepted before; it
+            refuses the order if it counts another number. None if the order
+            does not depend on it.
     """
 
     name: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class RequestReport:
-    """Effect: ask a server how many orders it has accepted, and its state."""
+    """Effect: probe a server for its number of accepted orders and state."""
 
     name: str
     address: str
@@ -95,12 +96,12 @@
 
 @attrs.frozen
 class OrderAnswered:
-    """Event: how an order ended.
+    """Event: the outcome of an order.
 
     Attributes:
         name: The server.
         order: The order.
-        status: HTTP status; 0 without an answer.
+        status: HTTP status; 0 without a response.
     """
 
     name: str
@@ -110,13 +111,15 @@
 
 @attrs.frozen
 class ReportArrived:
-    """Event: a server answered the question for its state.
+    """Event: the outcome of a probe for a server's state.
 
     Attributes:
         name: The server.
-        accepted: Orders it has accepted in this life; None without an answer.
-        born: When the life began that answered; 0 if it does not tell.
-        is_turned_away: Whether it answered only that it wants no question now.
+        accepted: Orders that this incarnation has accepted; None without a
+            report.
+        born: Start time of the incarnation that responded; 0 if it does not
+            report one.
+        is_turned_away: Whether it responded, but refused to report now.
         member: Its group membership at the moment `accepted` was read.
     """
 
@@ -129,13 +132,14 @@
 
 @attrs.frozen
 class NoticeArrived:
-    """Event: a server said something about calls to come.
+    """Event: a server responded with a notice about future calls.
 
     Attributes:
         name: The server.
-        born: When the life began that was called; 0 if it does not tell.
-        retry_after_s: How long it wants no call from this node, in seconds;
-            None if unsaid.
+        born: Start time of the incarnation that was called; 0 if it does not
+            report one.
+        retry_after_s: How long this node must send it no calls, in seconds;
+            None if not specified.
         is_leaving: Whether it is about to end.
     """
 
--- a/src/hickorylead/fleet/peer_directory.py
+++ b/src/hickorylead/fleet/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other control nodes that one node knows of, found from a few seeds."""
+"""The other control nodes known to a node, discovered from a few seeds."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
     from hickorylead.fleet import messages
 
-# Control nodes greet each other this often, in seconds.
+# Control nodes send each other a hello this often, in seconds.
 HELLO_PERIOD_S = 0.3
-# One that was not heard for this long is taken for lost, in seconds: four
-# greetings, above the pauses of a loop that syncs to a slow disk.
+# A peer without a hello for this long is treated as lost, in seconds: four
+# hello periods, above the delays of a loop that syncs to a slow disk.
 PEER_TIMEOUT_S = 1.3
-# One that was not heard for this long is forgotten, in seconds.
-FORGET_S = 60.0
+# A peer without a hello for this long is removed, in seconds.
+PEER_RETENTION_S = 60.0
 
 
 @attrs.define
@@ -29,15 +29,15 @@
 
     Attributes:
         address: `ip:port` for its peers.
-        heard_at: When it was last heard.
-        incarnation: Member that it is in the configuration log.
+        last_hello_at: When its last hello arrived.
+        incarnation: Its member id in the configuration log.
         is_empty: Whether it belongs to no cluster.
-        digest: Hash over the instances that it knows.
-        gateways: Gateways whose home it is.
+        digest: Digest of the instances that it knows.
+        gateways: Number of gateways whose home coordinator it is.
     """
 
     address: str
-    heard_at: float
+    last_hello_at: float
     incarnation: str = ""
     is_empty: bool = False
     digest: int = 0
@@ -48,7 +48,7 @@
     """All other control nodes."""
 
     def __init__(self, *, node: str, seeds: Iterable[str]) -> None:
-        """Makes the view of a node that has heard nobody.
+        """Makes a directory without peers.
 
         Args:
             node: Name of this node.
@@ -61,62 +61,64 @@
     def handle_hello(
         self, hello: messages.CoordinatorHello, now: float
     ) -> None:
-        """Takes a greeting, and whom the other one knows."""
+        """Handles a hello and the nodes that its sender knows."""
         if hello.node == self._node:
             return
-        neighbour = self.known.setdefault(hello.node, Peer(hello.address, now))
-        neighbour.address = hello.address
-        neighbour.heard_at = now
-        neighbour.incarnation = hello.incarnation
-        neighbour.is_empty = hello.is_empty
-        neighbour.digest = hello.check
-        neighbour.gateways = hello.gateways
+        peer = self.known.setdefault(hello.node, Peer(hello.address, now))
+        peer.address = hello.address
+        peer.last_hello_at = now
+        peer.incarnation = hello.incarnation
+        peer.is_empty = hello.is_empty
+        peer.digest = hello.check
+        peer.gateways = hello.gateways
         for node, address in zip(hello.nodes, hello.addresses, strict=False):
             if node not in self.known and node != self._node:
-                # Told by another one only: greeted, but not alive yet.
+                # Known only through another node: it is sent hellos, but does
+                # not count as alive yet.
                 self.known[node] = Peer(address, now - PEER_TIMEOUT_S)
 
     def prune(self, now: float) -> None:
-        """Drops those that were not heard for long."""
-        for node, neighbour in list(self.known.items()):
-            if now - neighbour.heard_at > FORGET_S:
+        """Removes peers whose last hello is too long ago."""
+        for node, peer in list(self.known.items()):
+            if now - peer.last_hello_at > PEER_RETENTION_S:
                 del self.known[node]
 
     def list_alive(self, now: float) -> list[str]:
-        """Returns those that were heard lately, sorted."""
+        """Returns the peers that sent a hello recently, sorted."""
         return sorted(
             node
-            for node, neighbour in self.known.items()
-            if now - neighbour.heard_at <= PEER_TIMEOUT_S
+            for node, peer in self.known.items()
+            if now - peer.last_hello_at <= PEER_TIMEOUT_S
         )
 
     def list_homes(self, now: float) -> list[str]:
-        """Returns the alive nodes that are home to gateways, sorted."""
+        """Returns the alive peers that are home to gateways, sorted."""
         return [n for n in self.list_alive(now) if self.known[n].gateways]
 
     def count_gateways(self, now: float) -> int:
-        """Returns how many gateways the others are home to."""
+        """Returns the number of gateways whose home is an alive peer."""
         return sum(self.known[n].gateways for n in self.list_alive(now))
 
     def list_hello_targets(self) -> list[str]:
-        """Returns whom to greet: nodes by name, those not heard by address.
+        """Returns the nodes to send a hello, by name or address.
 
-        Connections know the way to a name from that node's own messages alone.
-        Two nodes that were only told of each other would never meet.
+        A node that has not sent a hello is listed by address. Connections
+        resolve a name only from that node's own messages, so two nodes that
+        each know the other only through a third one would never connect.
         """
         addresses = {n.address for n in self.known.values()}
         unknown = [f"@{s}" for s in self.seeds if s not in addresses]
         known = [
-            node if neighbour.incarnation else f"@{neighbour.address}"
-            for node, neighbour in sorted(self.known.items())
+            node if peer.incarnation else f"@{peer.address}"
+            for node, peer in sorted(self.known.items())
         ]
         return [*known, *unknown]
 
     def find_owner(self, zone: str, domain: str, now: float) -> str:
         """Returns the control node that plans a domain.
 
-        One of the domain's own zone does, if any is alive: it still reaches
-        the domain when the zone is cut off.
+        It is a node of the domain's own zone, if any is alive: that one still
+        reaches the domain when the zone is isolated.
         """
         alive = [self._node, *self.list_alive(now)]
         local = [node for node in alive if nodes.get_zone(node) == zone]
--- a/src/hickorylead/fleet/registry.py
+++ b/src/hickorylead/fleet/registry.py
@@ -1,4 +1,4 @@
-"""The backend servers that one node knows of."""
+"""The backend servers that a node knows."""
 
 from __future__ import annotations
 
@@ -13,84 +13,91 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A life that has ended is remembered for this long, in seconds, so that a late
-# heartbeat of it is known for what it is. Heartbeats that a partition held up
-# come when it heals; partitions that we were told of last seconds.
-REMEMBER_GONE_S = 120.0
-# A server that is known from the disk alone is not taken for lost for this long
-# after a restart, in seconds: two heartbeat periods, as one heartbeat may go to
-# a control node that is gone. A working group was closed, 1.85 s after all
-# control nodes restarted, as the heartbeat of one member came at 1.88 s.
-UNHEARD_S = 2.5
-# A node whose hash was ours this long ago or less is not told everything: the
-# changes since are on their way. In seconds; a batch of changes leaves within
-# 0.05 s, and the greeting with the hash comes each 0.25 s.
-CHECK_MEMORY_S = 0.6
+# An incarnation that has ended is retained for this long, in seconds, so that
+# its late heartbeats are recognized as such. Heartbeats that a partition
+# delayed arrive when it heals; partitions are reported to last seconds.
+GONE_RETENTION_S = 120.0
+# A server that is known from the disk alone is not treated as lost for this
+# long after a restart, in seconds: two heartbeat periods, as one heartbeat may
+# go to a control node that is gone. With a shorter time a working group was
+# closed 1.85 s after all control nodes restarted, as the heartbeat of one
+# member arrived at 1.88 s.
+FIRST_HEARTBEAT_WAIT_S = 2.5
+# A node is sent no full sync if its digest equals the one that this node had at
+# most this long ago, in seconds: the changes since are in transit. A batch of
+# changes is sent within 0.05 s, and the hello with the digest every 0.25 s.
+DIGEST_RETENTION_S = 0.6
 
 
 class Registry:
-    """Instances by name, with when each was last heard of."""
+    """Instances by name, with the time of the last update of each."""
 
     def __init__(self) -> None:
-        """Makes a registry that knows nobody."""
+        """Makes an empty registry."""
         self.instances: dict[str, instances.Instance] = {}
-        self.heard_at: dict[str, float] = {}
-        # Number of the heartbeat that last told something new.
+        self.last_update_at: dict[str, float] = {}
+        # Number of the heartbeat that last reported a change.
         self.changed_sequences: dict[str, int] = {}
-        # Servers known from the disk that were not heard yet, since when.
-        self._recalled: dict[str, float] = {}
-        # Counts what changed, so that others can tell cheaply.
+        # When servers without a heartbeat since were restored from disk.
+        self._restored: dict[str, float] = {}
+        # Number of changes, so that users can detect a change cheaply.
         self.changes = 0
-        self._checks: dict[str, int] = {}
-        self._check = 0
-        # Former hashes, and until when they were the present one.
-        self._former: collections.deque[tuple[float, int]] = collections.deque()
+        self._hashes: dict[str, int] = {}
+        self._digest = 0
+        # Previous digests, and until when each was the current one.
+        self._previous_digests: collections.deque[tuple[float, int]] = (
+            collections.deque()
+        )
 
     @property
     def digest(self) -> int:
-        """A hash over all instances, the same at nodes that know the same."""
-        return self._check
-
-    def had_digest(self, check: int, now: float) -> bool:
-        """Says whether a hash is ours, or was until a moment ago."""
-        while self._former and now - self._former[0][0] > CHECK_MEMORY_S:
-            self._former.popleft()
-        return check == self._check or any(
-            check == former for _, former in self._former
+        """A digest of all instances, equal at nodes with equal state."""
+        return self._digest
+
+    def had_digest(self, digest: int, now: float) -> bool:
+        """Returns whether a digest is this node's, or was until recently."""
+        while (
+            self._previous_digests
+            and now - self._previous_digests[0][0] > DIGEST_RETENTION_S
+        ):
+            self._previous_digests.popleft()
+        return digest == self._digest or any(
+            digest == previous for _, previous in self._previous_digests
         )
 
-    def merge(self, news: instances.Instance, now: float) -> bool:
-        """Takes news of an instance; says whether they changed anything."""
-        known = self.instances.get(news.name)
-        if not instances.is_newer(news, known):
+    def merge(self, update: instances.Instance, now: float) -> bool:
+        """Merges an update; returns whether it changed anything."""
+        known = self.instances.get(update.name)
+        if not instances.is_newer(update, known):
             return False
-        news = instances.keep_known(news, known)
-        if not news.silent:
-            self.heard_at[news.name] = now
-            self._recalled.pop(news.name, None)
-        changed = known is None or not instances.says_the_same(known, news)
+        update = instances.fill_unreported(update, known)
+        if not update.silent:
+            self.last_update_at[update.name] = now
+            self._restored.pop(update.name, None)
+        changed = known is None or not instances.is_same_state(known, update)
         if changed:
-            self.changed_sequences[news.name] = news.sequence
-        self.instances[news.name] = news
+            self.changed_sequences[update.name] = update.sequence
+        self.instances[update.name] = update
         if changed:
-            self._note(news, now)
-            self._end_others(news, now)
+            self._record_change(update, now)
+            self._end_superseded(update, now)
         return changed
 
     def touch(
         self, name: str, sequence: int, since: int, now: float, *, born: int = 0
     ) -> bool:
-        """Takes a sign of life; says whether it ended a silence.
+        """Records a heartbeat; returns whether it ended a silent period.
 
         Args:
             name: The server.
             sequence: Number of its newest heartbeat.
-            since: Number of the one that last told something new. If that has
-                not come here yet, the state known here is old, and with the
-                newer number it would be kept against the news.
+            since: Number of the heartbeat that last reported a change. If that
+                change has not arrived here yet, the state known here is old.
+                With the newer number, it would take precedence over the change.
             now: Present time.
-            born: When the life began that sent them. With the higher number of
-                a former life, the heartbeats of the present one would seem old.
+            born: Start time of the incarnation that sent the heartbeats. With
+                the higher number of a previous incarnation, those of the
+                present one would seem old.
         """
         known = self.instances.get(name)
         if known is None or known.phase == instances.PHASE_GONE:
@@ -99,44 +106,46 @@
             return False
         if sequence <= known.sequence or known.sequence < since:
             return False
-        self.heard_at[name] = now
-        revived = known.silent
+        self.last_update_at[name] = now
+        recovered = known.silent
         self.instances[name] = attrs.evolve(
             known, sequence=sequence, silent=False
         )
-        if revived:
-            self._note(self.instances[name], now)
-        return revived
-
-    def restore(
-        self, remembered: Iterable[instances.Instance], now: float
-    ) -> None:
-        """Takes servers that were known before a restart.
-
-        After all nodes lost power, gateways would refuse everything until the
-        last server of each group had sent a heartbeat. These may be used, but
-        count as silent, and anything heard of them is newer.
+        if recovered:
+            self._record_change(self.instances[name], now)
+        return recovered
+
+    def restore(self, stored: Iterable[instances.Instance], now: float) -> None:
+        """Restores servers that were known before a restart.
+
+        Without this, after a power loss of all nodes, gateways would refuse
+        all requests until the last server of each group had sent a heartbeat.
+        Restored servers may be used, but count as silent, and any update of
+        them is newer.
         """
-        for instance in remembered:
+        for instance in stored:
             if instance.phase == instances.PHASE_GONE:
                 continue
             old = attrs.evolve(
                 instance, silent=True, sequence=instance.sequence - 1
             )
             if self.merge(old, now):
-                self.heard_at[old.name] = now
-                self._recalled[old.name] = now
+                self.last_update_at[old.name] = now
+                self._restored[old.name] = now
 
-    def may_be_unheard(self, name: str, now: float) -> bool:
-        """Says whether a silent server may just not have been heard yet."""
-        recalled_at = self._recalled.get(name)
-        return recalled_at is not None and now - recalled_at < UNHEARD_S
+    def awaits_first_heartbeat(self, name: str, now: float) -> bool:
+        """Returns whether a restored server may yet send a heartbeat."""
+        restored_at = self._restored.get(name)
+        return (
+            restored_at is not None
+            and now - restored_at < FIRST_HEARTBEAT_WAIT_S
+        )
 
     def has_ended(self, name: str, born: int, now: float) -> bool:
-        """Says whether a life of a server is known to have ended by itself.
+        """Returns whether an incarnation is known to have ended unannounced.
 
-        One that said so before has not: whatever it still ran was cut by its
-        planned end.
+        False for one that announced its end: requests that it still ran were
+        ended by the planned shutdown.
         """
         known = self.instances.get(name)
         if known is None:
@@ -146,16 +155,16 @@
         return (
             known.silent
             and known.phase != instances.PHASE_GONE
-            and not self.may_be_unheard(name, now)
+            and not self.awaits_first_heartbeat(name, now)
         )
 
     def find_born(self, name: str) -> int:
-        """Returns when the present life of a server began; 0 if unknown."""
+        """Returns the start time of a server's incarnation; 0 if unknown."""
         known = self.instances.get(name)
         return known.born if known else 0
 
     def list_present(self) -> list[instances.Instance]:
-        """Returns the instances whose life has not ended."""
+        """Returns the instances whose incarnation has not ended."""
         return [
             instance
             for instance in self.instances.values()
@@ -163,82 +172,82 @@
         ]
 
     def list_silent(
-        self, silence_s: float, now: float
+        self, timeout_s: float, now: float
     ) -> list[instances.Instance]:
-        """Returns those not heard of for a time, and not yet marked so."""
+        """Returns servers without updates for `timeout_s`, not yet silent."""
         return [
             instance
             for instance in self.list_present()
             if not instance.silent
-            and now - self.heard_at.get(instance.name, now) > silence_s
+            and now - self.last_update_at.get(instance.name, now) > timeout_s
         ]
 
-    def list_stale(self, silence_s: float, now: float) -> frozenset[str]:
-        """Returns the names of all not heard of for longer than `silence_s`."""
+    def list_stale(self, timeout_s: float, now: float) -> frozenset[str]:
+        """Returns the names of servers without updates for `timeout_s`."""
         return frozenset(
             name
             for name in self.instances
-            if now - self.heard_at.get(name, now) > silence_s
+            if now - self.last_update_at.get(name, now) > timeout_s
         )
 
-    def prune(self, now: float, silence_s: float) -> list[str]:
-        """Drops lives that ended or fell silent long ago; returns them."""
+    def prune(self, now: float, timeout_s: float) -> list[str]:
+        """Removes servers that ended or fell silent long ago; returns them."""
         dropped = []
         for name, instance in list(self.instances.items()):
-            age_s = now - self.heard_at.get(name, now)
+            age_s = now - self.last_update_at.get(name, now)
             is_old = (
                 instance.phase == instances.PHASE_GONE
-                and age_s > REMEMBER_GONE_S
-            ) or (instance.silent and age_s > silence_s)
+                and age_s > GONE_RETENTION_S
+            ) or (instance.silent and age_s > timeout_s)
             if is_old:
                 dropped.append(name)
                 del self.instances[name]
-                self.heard_at.pop(name, None)
+                self.last_update_at.pop(name, None)
                 self.changed_sequences.pop(name, None)
-                self._recalled.pop(name, None)
-                self._former.append((now, self._check))
-                self._check ^= self._checks.pop(name, 0)
+                self._restored.pop(name, None)
+                self._previous_digests.append((now, self._digest))
+                self._digest ^= self._hashes.pop(name, 0)
                 self.changes += 1
         return dropped
 
-    def _end_others(self, news: instances.Instance, now: float) -> None:
-        """Ends the lives that a newcomer at the same address shows as over.
+    def _end_superseded(self, update: instances.Instance, now: float) -> None:
+        """Marks servers as gone whose address is used by a newer server.
 
-        An address is used again by another service once its server is gone;
-        requests for the old one must not reach it.
+        An address may be reused by another service once its server is gone;
+        requests for the old server must not reach the new one.
         """
-        if news.phase == instances.PHASE_GONE or news.silent:
+        if update.phase == instances.PHASE_GONE or update.silent:
             return
         for other in list(self.instances.values()):
             if (
-                other.address == news.address
-                and other.name != news.name
+                other.address == update.address
+                and other.name != update.name
                 and other.phase != instances.PHASE_GONE
-                and (other.silent or self._is_older(other, news))
+                and (other.silent or self._is_older(other, update))
             ):
                 gone = attrs.evolve(other, phase=instances.PHASE_GONE)
                 self.instances[other.name] = gone
-                self.heard_at[other.name] = now
-                self._note(gone, now)
+                self.last_update_at[other.name] = now
+                self._record_change(gone, now)
 
     def _is_older(
-        self, other: instances.Instance, news: instances.Instance
+        self, other: instances.Instance, update: instances.Instance
     ) -> bool:
-        if other.born and news.born:
-            return other.born < news.born
-        # A life that begins counts its heartbeats from the start. A held-up
-        # heartbeat of an older life comes with a number that is no lower
-        # than those of the life that took its address.
-        return news.sequence <= other.sequence
-
-    def _note(self, instance: instances.Instance, now: float) -> None:
+        if other.born and update.born:
+            return other.born < update.born
+        # A new incarnation numbers its heartbeats from the start. A delayed
+        # heartbeat of an older incarnation has a number that is no lower than
+        # those of the incarnation that now uses its address.
+        return update.sequence <= other.sequence
+
+    def _record_change(self, instance: instances.Instance, now: float) -> None:
         self.changes += 1
-        self._former.append((now, self._check))
-        self._check ^= self._checks.pop(instance.name, 0)
+        self._previous_digests.append((now, self._digest))
+        self._digest ^= self._hashes.pop(instance.name, 0)
         if instance.phase != instances.PHASE_GONE:
             value = _hash(instance)
-            self._checks[instance.name] = value
-            self._check ^= value
+            self._hashes[instance.name] = value
+            self._digest ^= value
 
 
 def _hash(instance: instances.Instance) -> int:
@@ -248,7 +257,7 @@
 
 
 def merge_all(
-    registry: Registry, news: Iterable[instances.Instance], now: float
+    registry: Registry, updates: Iterable[instances.Instance], now: float
 ) -> list[instances.Instance]:
-    """Takes much news at once; returns what changed something."""
-    return [item for item in news if registry.merge(item, now)]
+    """Merges several updates; returns those that changed anything."""
+    return [item for item in updates if registry.merge(item, now)]
--- a/src/hickorylead/fleet/server_codec.py
+++ b/src/hickorylead/fleet/server_codec.py
@@ -1,4 +1,4 @@
-"""How a deployment's backend servers take orders and tell their state."""
+"""Interface to the HTTP API of a deployment's backend servers."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
 
 @attrs.frozen
 class ServerReport:
-    """What a server answers to the question for its state.
+    """A server's response to a probe for its state.
 
     Attributes:
-        accepted: Orders that it has accepted in this life.
-        born: When this life began, in Unix milliseconds; 0 if it does not tell.
+        accepted: Number of orders that this incarnation has accepted.
+        born: Start time of this incarnation, in Unix milliseconds; 0 if it does
+            not report one.
         member: Its group membership at the moment `accepted` was read.
     """
 
@@ -46,11 +47,11 @@
 
 @attrs.frozen
 class Notice:
-    """What a server says with an answer about calls to come.
+    """A notice about future calls in a server's HTTP response.
 
     Attributes:
-        retry_after_s: How long it wants no call from this node, in seconds;
-            None if unsaid.
+        retry_after_s: How long this node must send it no calls, in seconds;
+            None if not specified.
         is_leaving: Whether it is about to end.
     """
 
@@ -59,18 +60,18 @@
 
 
 class ServerCodec(Protocol):
-    """Names and formats between coordinators and backend servers."""
+    """Encodes and decodes calls between coordinators and servers."""
 
     def encode_order(self, give: orders.SendOrder) -> HttpCall:
-        """Returns the call that gives an order."""
+        """Returns the call that sends an order."""
 
     def encode_report_request(self) -> HttpCall:
-        """Returns the call that asks for a server's state."""
+        """Returns the call that probes a server's state."""
 
     def decode_report(self, body: bytes) -> ServerReport | None:
-        """Returns what a server tells of its state; None if unreadable."""
+        """Returns a server's report of its state; None if malformed."""
 
     def decode_notice(
         self, status: int, headers: Sequence[tuple[bytes, bytes]]
     ) -> Notice:
-        """Returns what an answer says about calls to come."""
+        """Returns the notice about future calls in an HTTP response."""
--- a/src/hickorylead/fleet/standbys.py
+++ b/src/hickorylead/fleet/standbys.py
@@ -1,4 +1,4 @@
-"""Free backend servers: what they hold, and what they should hold."""
+"""Free backend servers: the models they hold, and those they should hold."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.fleet import instances
 
-# How far a server is from serving a model: in memory from its last group
-# (0.2 s), staged on its VM (1.1 to 1.6 s), or in the weight store (12 to 16 s).
+# Where a server gets a model from: its memory, if its last group had the model
+# (0.2 s), its VM, where the model is staged (1.1 to 1.6 s), or the weight store
+# (12 to 16 s). Lower values are closer to serving.
 WARM, STAGED, COLD = 0, 1, 2
-# A server is a standby once it was free for this long, in seconds; before, it
-# may just be on its way from one group to the next.
+# A server is a standby once it has been free for this long, in seconds; before
+# that, it may be moving from one group to the next.
 IDLE_S = 1.2
 
 
 class Standbys:
-    """What is known of free servers beyond what they tell."""
+    """Tracks how long servers have been free, which they do not report."""
 
     def __init__(self) -> None:
-        """Makes a book without servers."""
+        """Makes a tracker without servers."""
         self._free_since: dict[str, float] = {}
 
-    def note(self, present: Iterable[instances.Instance], now: float) -> None:
-        """Takes what all servers tell now."""
+    def update(self, present: Iterable[instances.Instance], now: float) -> None:
+        """Updates which servers are free from the present reports."""
         names = set()
         for instance in present:
             names.add(instance.name)
@@ -38,36 +39,39 @@
             n: t for n, t in self._free_since.items() if n in names
         }
 
-    def rate(self, instance: instances.Instance, model: str) -> int:
-        """Returns how far a server is from serving a model."""
+    def classify(self, instance: instances.Instance, model: str) -> int:
+        """Returns whether a server is warm, staged or cold for a model."""
         if instance.last_model == model:
             return WARM
         return STAGED if model in instance.staged else COLD
 
     def is_idle(self, instance: instances.Instance, now: float) -> bool:
-        """Says whether a server has been free for a while."""
+        """Returns whether a server has been free for `IDLE_S`."""
         return now - self._free_since.get(instance.name, now) >= IDLE_S
 
     def is_settled(self, instance: instances.Instance, now: float) -> bool:
-        """Says whether a server is not on its way between two groups."""
+        """Returns whether a server is not moving between two groups."""
         return instance.has_group or self.is_idle(instance, now)
 
     def sort(
         self, free: list[instances.Instance], model: str
     ) -> list[instances.Instance]:
-        """Returns free servers, the nearest to serving a model first."""
-        return sorted(free, key=lambda i: (self.rate(i, model), i.name))
+        """Returns free servers, the closest to serving a model first."""
+        return sorted(free, key=lambda i: (self.classify(i, model), i.name))
 
 
-def choose_other(engine: document_module.EngineProfile, warm: str) -> str:
-    """Returns what a server should stage beside the model in its memory.
+def choose_secondary(
+    engine: document_module.EngineProfile, loaded_model: str
+) -> str:
+    """Returns the model that a server should stage as its secondary one.
 
-    It is the other model with the greatest share; empty if there is none.
+    It is the model with the greatest share, other than the one in its memory;
+    empty if there is none.
     """
-    others = [m for m in engine.models if m.name != warm]
-    if not others:
+    candidates = [m for m in engine.models if m.name != loaded_model]
+    if not candidates:
         return ""
-    return max(others, key=lambda m: (m.initial_vm_share, m.name)).name
+    return max(candidates, key=lambda m: (m.initial_vm_share, m.name)).name
 
 
 def choose_model(
@@ -77,8 +81,8 @@
 ) -> str:
     """Returns the model that the next standby of a domain should hold.
 
-    A model's groups lose a member the more often the more VMs they have, so
-    the standbys are split by the VMs that serve each model.
+    The more VMs serve a model, the more often its groups lose a member, so the
+    standbys are divided in proportion to the VMs that serve each model.
 
     Args:
         engine: The models.
--- a/src/hickorylead/fleet/supervisor.py
+++ b/src/hickorylead/fleet/supervisor.py
@@ -1,4 +1,4 @@
-"""Looks after the replica groups of the domains that a node is in charge of."""
+"""Supervises the replica groups of the domains that a node owns."""
 
 from __future__ import annotations
 
@@ -27,25 +27,27 @@
     )
 
 PLAN_PERIOD_S = 0.25
-# News that come within this time of a round of planning wait for the next
-# tick, in seconds. A round looks at all servers; when 171 of them form groups
-# at once, one round for each of 150 news a second takes half a core.
-PLAN_PAUSE_S = 0.02
-# Heartbeat periods after which a node that has started has heard all servers.
+# Updates that arrive within this time after a planning round wait for the next
+# tick, in seconds. A round processes all servers; when 171 of them form groups
+# at once, one round for each of 150 updates a second takes half a core.
+MIN_PLAN_INTERVAL_S = 0.02
+# Heartbeat periods after which a node that has started has received a heartbeat
+# of every server.
 SETTLE_PERIODS = 1.4
 # Heartbeat periods without a heartbeat after which a server gets no orders, as
 # orders based on old state may close a serving group. If it is alive, another
 # node receives its heartbeats and plans for it. After the loss of a node, the
 # heartbeats of its servers reach another one within 1.1 periods and a second.
 STALE_PERIODS = 2.5
-# With what another node knows it has them after this, in seconds.
-TOLD_SETTLE_S = 0.2
+# After a full sync from another node it knows every server after this, in
+# seconds.
+FULL_SYNC_SETTLE_S = 0.2
 
 Effect: TypeAlias = orders.SendOrder | orders.RequestReport | notes.Note
 
 
 class Supervisor:
-    """Suspects and plans of one coordinator."""
+    """Failure detection and planning of one coordinator."""
 
     def __init__(
         self,
@@ -62,19 +64,19 @@
 
         Args:
             identity: The node.
-            policy: The trade between downtime and stranded accelerators.
-            start_id: Tells the node's lives apart.
+            policy: Trade-off between downtime and stranded accelerators.
+            start_id: Unique id of the node's start.
             registry: Backend servers that the node knows.
             peers: Other control nodes.
-            has_leader: Says whether the node hears a leader.
+            has_leader: Returns whether the node has contact to a leader.
             now: Present time.
         """
         self._identity = identity
         self._zone = nodes.get_zone(identity.node)
         self._registry = registry
-        self._neighbours = peers
+        self._peers = peers
         self._has_leader = has_leader
-        self._suspects = failure_detector_module.FailureDetector(
+        self._failure_detector = failure_detector_module.FailureDetector(
             identity.heartbeat_s
         )
         self._planner = planner_module.Planner(
@@ -82,37 +84,39 @@
             policy=policy,
             start_id=start_id,
         )
-        self._is_started = not identity.may_bootstrap
-        # A node that knows but some servers would form groups that there are.
+        self._has_traffic = not identity.may_bootstrap
+        # A node that knows only some servers would form groups that exist.
         settle_s = 0.0 if identity.may_bootstrap else SETTLE_PERIODS
-        self._plans_from = now + settle_s * identity.heartbeat_s
+        self._planning_starts_at = now + settle_s * identity.heartbeat_s
         self._next_plan = now
         self._planned_at = -1e9
-        # Until when lives of servers want no call from this node.
+        # Until when this node must not call a server, by name and incarnation.
         self._pauses: dict[tuple[str, int], float] = {}
         self.services: tuple[document_module.Service, ...] | None = None
 
     def has_full_view(self, now: float) -> bool:
-        """Says whether it has had the time to hear all servers."""
-        return now >= self._plans_from
+        """Returns whether it has had the time to receive all heartbeats."""
+        return now >= self._planning_starts_at
 
     def record_full_sync(self, now: float) -> None:
-        """Takes that another node told all servers that it knows."""
-        self._plans_from = min(self._plans_from, now + TOLD_SETTLE_S)
+        """Records a full sync from another node."""
+        self._planning_starts_at = min(
+            self._planning_starts_at, now + FULL_SYNC_SETTLE_S
+        )
 
     @property
     def has_traffic(self) -> bool:
-        """Says whether callers are served, as far as is known."""
-        return self._is_started
+        """Whether callers are served, as far as is known."""
+        return self._has_traffic
 
     def record_traffic(self) -> None:
-        """Takes that callers are served: loads count from now on."""
-        self._is_started = True
+        """Records that callers are served: loads are limited from now on."""
+        self._has_traffic = True
 
     def pause_calls(self, name: str, born: int, until: float) -> None:
-        """Takes that a life of a server wants no call for some time."""
-        before = self._pauses.get((name, born), until)
-        self._pauses[name, born] = max(before, until)
+        """Pauses calls to one incarnation of a server."""
+        previous = self._pauses.get((name, born), until)
+        self._pauses[name, born] = max(previous, until)
 
     def _is_paused(self, name: str, now: float) -> bool:
         if not self._pauses:
@@ -120,29 +124,31 @@
         self._pauses = {k: t for k, t in self._pauses.items() if t > now}
         return (name, self._registry.find_born(name)) in self._pauses
 
-    def _ask(
+    def _probe(
         self, members: Iterable[instances.Instance], now: float
     ) -> list[Effect]:
-        """Asks servers for their state; those that want no call are left."""
-        asked = self._suspects.add_suspects(
+        """Probes servers for their state, except those that are paused."""
+        suspects = self._failure_detector.add_suspects(
             [m for m in members if not self._is_paused(m.name, now)], now
         )
-        return [orders.RequestReport(m.name, m.address) for m in asked]
+        return [orders.RequestReport(m.name, m.address) for m in suspects]
 
-    # Which servers are dead.
+    # Failure detection.
 
     def clear_suspicion(self, name: str) -> None:
-        """Takes a sign of life of a server."""
-        self._suspects.clear_suspicion(name)
+        """Clears the suspicion of a server that is alive."""
+        self._failure_detector.clear_suspicion(name)
 
     def record_output(self, head: str, at: float) -> None:
-        """Takes that a gateway got something from a replica at a time."""
-        self._suspects.record_output(head, at)
+        """Records when a gateway received output from a replica."""
+        self._failure_detector.record_output(head, at)
 
-    def suspect_group(self, head: str, teller: str, now: float) -> list[Effect]:
-        """Asks the members of a group that a gateway saw stop."""
+    def suspect_group(
+        self, head: str, reporter: str, now: float
+    ) -> list[Effect]:
+        """Probes the members of a group that a gateway reported as stalled."""
         instance = self._registry.instances.get(head)
-        if instance is None or not self._is_mine(instance, now):
+        if instance is None or not self._is_owned(instance, now):
             return []
         members = [
             other
@@ -154,64 +160,66 @@
                 and other.member.epoch == instance.member.epoch
             )
         ]
-        asked = self._ask(members, now)
-        if not asked:
+        probes = self._probe(members, now)
+        if not probes:
             return []
         return [
-            *asked,
+            *probes,
             notes.note(
                 "group_suspected",
                 head=head,
                 group=instance.member.group,
-                gateway=teller,
+                gateway=reporter,
                 asked=[
-                    question.name
-                    for question in asked
-                    if isinstance(question, orders.RequestReport)
+                    probe.name
+                    for probe in probes
+                    if isinstance(probe, orders.RequestReport)
                 ],
             ),
         ]
 
     def suspect_servers(self, names: Iterable[str], now: float) -> list[Effect]:
-        """Asks servers that closed a connection in the middle of an answer.
+        """Probes servers that closed a connection during a response.
 
-        If they have ended they would be missed only with their heartbeats, 0.9
-        to 2.0 s later; meanwhile a request that ended one ended others.
+        If they have ended, missing heartbeats would show it only 0.9 to 2.0 s
+        later; meanwhile a request that ended one server could end others.
         """
         found = [self._registry.instances.get(name) for name in names]
-        mine = [i for i in found if i is not None and self._is_mine(i, now)]
-        return self._ask(mine, now)
+        owned = [i for i in found if i is not None and self._is_owned(i, now)]
+        return self._probe(owned, now)
 
     def probe_silent(self, now: float) -> list[Effect]:
-        """Asks servers whose heartbeats have been missed."""
-        silent = self._registry.list_silent(self._suspects.silence_s, now)
-        mine = [i for i in silent if self._is_mine(i, now)]
-        return self._ask(mine, now)
+        """Probes servers whose heartbeats are missing."""
+        silent = self._registry.list_silent(
+            self._failure_detector.probe_after_s, now
+        )
+        owned = [i for i in silent if self._is_owned(i, now)]
+        return self._probe(owned, now)
 
     def list_newly_lost(self, now: float) -> list[instances.Instance]:
-        """Returns the servers that are taken for dead from now on."""
-        lost = self._suspects.list_lost(self._registry, now)
+        """Returns the servers that are treated as dead from now on."""
+        lost = self._failure_detector.list_lost(self._registry, now)
         return [
             i
             for i in self._registry.list_present()
             if i.name in lost and not i.silent
         ]
 
-    # Plans.
+    # Planning.
 
     def is_due(self, now: float) -> bool:
-        """Says whether a round of planning is due."""
+        """Returns whether a planning round is due."""
         return now >= self._next_plan
 
     def plan_soon(self, now: float) -> list[Effect]:
-        """Plans at once, or with the next tick if it was just done."""
-        if now - self._planned_at < PLAN_PAUSE_S:
+        """Plans at once, or on the next tick if a round has just ended."""
+        if now - self._planned_at < MIN_PLAN_INTERVAL_S:
             self._next_plan = now
             return []
         return self.plan(now)
 
     def plan(self, now: float) -> list[Effect]:
-        """Returns the orders that the present state asks for."""
+        """Returns the orders that the present state requires."""
         self._next_plan = now + PLAN_PERIOD_S
         self._planned_at = now
         if self.services is None or not self.has_full_view(now):
@@ -224,32 +232,32 @@
         domains = frozenset(
             domain
             for domain, members in by_domain.items()
-            if self._is_mine(members[0], now)
+            if self._is_owned(members[0], now)
         )
         if not domains:
             return []
-        given = self._planner.plan(
+        issued = self._planner.plan(
             present=present,
             services=self.services,
             domains=domains,
-            lost=self._suspects.list_lost(self._registry, now),
+            lost=self._failure_detector.list_lost(self._registry, now),
             stale=self._registry.list_stale(
                 STALE_PERIODS * self._identity.heartbeat_s, now
             ),
             planners=self._count_planners(),
-            is_started=self._is_started,
+            has_traffic=self._has_traffic,
             now=now,
         )
-        # An order that is not sent counts as unanswered and is given again.
+        # An order that is not sent counts as unanswered and is issued again.
         return [
             effect
-            for item in given
+            for item in issued
             if not self._is_paused(item.name, now)
             for effect in (item, *descriptions.describe_order(item))
         ]
 
     def handle_response(self, event: orders.OrderAnswered) -> list[Effect]:
-        """Takes the answer to an order."""
+        """Handles the response to an order."""
         self._planner.handle_response(event)
         return [
             notes.note(
@@ -264,27 +272,27 @@
     def handle_report(
         self, event: orders.ReportArrived, now: float
     ) -> list[Effect]:
-        """Takes the answer, or none, to a question for a server's state."""
+        """Handles the outcome of a probe for a server's state."""
         self._planner.handle_report(event)
-        has_answered = event.accepted is not None or event.is_turned_away
-        self._suspects.handle_report(event.name, answered=has_answered, now=now)
+        has_responded = event.accepted is not None or event.is_turned_away
+        self._failure_detector.handle_report(
+            event.name, responded=has_responded, now=now
+        )
         return self.plan_soon(now)
 
     def _count_planners(self) -> int:
-        """Returns how many control nodes may load, the silent ones counted.
+        """Returns how many control nodes may start loads.
 
-        One that is cut off goes on repairing its zone; it is forgotten only a
-        minute later.
+        Unreachable nodes are included: an isolated one continues to repair its
+        zone. A peer is removed only after a minute without a hello.
         """
-        known = 1 + len(self._neighbours.known)
+        known = 1 + len(self._peers.known)
         return max(known, len(self._identity.zones))
 
-    def _is_mine(self, instance: instances.Instance, now: float) -> bool:
-        charge = self._neighbours.find_owner(
-            instance.zone, instance.domain, now
-        )
-        if charge != self._identity.node:
+    def _is_owned(self, instance: instances.Instance, now: float) -> bool:
+        owner = self._peers.find_owner(instance.zone, instance.domain, now)
+        if owner != self._identity.node:
             return False
-        # Without a leader this node is cut off from the other coordinators.
-        # They look after their zones; it would only work against them.
+        # Without a leader this node is partitioned from the other coordinators.
+        # They plan their own zones, and its orders would conflict with theirs.
         return instance.zone == self._zone or self._has_leader(now)
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -625,7 +625,7 @@
         domains=frozenset({"d1"}),
         lost=frozenset(),
         planners=3,
-        is_started=True,
+        has_traffic=True,
         now=10.0,
     )
     joins = [
@@ -644,7 +644,7 @@
         domains=frozenset({"d1"}),
         lost=frozenset(),
         planners=3,
-        is_started=False,
+        has_traffic=False,
         now=10.0,
     )
     return [
@@ -735,7 +735,7 @@
             domains=frozenset({"d1"}),
             lost=frozenset(),
             planners=3,
-            is_started=True,
+            has_traffic=True,
             now=now,
         )
         started += [
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -94,7 +94,7 @@
                     )
                     budget.request(wish)
             for wish in budget.grant():
-                budget.spend(now)
+                budget.record_start(now)
                 store.left[wish.instance.name] = LOAD_S
                 own[number].add(wish.instance.name)
                 context.beside[number].discard(wish.instance.name)
@@ -233,7 +233,7 @@
         domains=frozenset({"d1"}),
         lost=frozenset(lost),
         planners=1,
-        is_started=True,
+        has_traffic=True,
         now=now,
     )
 
@@ -347,7 +347,7 @@
 
 @then("it counts 3 loads under way and orders none of them again")
 def _(context):
-    assert len(context.subject._ledger.list_loading()) == 3
+    assert len(context.subject._tracker.list_loading()) == 3
     assert context.again == {"e0": 1, "e1": 1, "e2": 1}, context.again
 
 
@@ -409,7 +409,7 @@
     context.first = plan_small_store(context, 10.0)
     assert len(context.first) == 3, context.first
     for name in context.first:
-        order = context.subject._ledger._pending[name].order
+        order = context.subject._tracker._pending[name].order
         answer = orders.OrderAnswered(name, order, 202)
         context.subject.handle_response(answer)
     context.present = [
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -102,7 +102,7 @@
             domains=frozenset({"d1"}),
             lost=frozenset(),
             planners=1,
-            is_started=True,
+            has_traffic=True,
             now=self.now,
         )
         return [
--- a/tests/support/planning.py
+++ b/tests/support/planning.py
@@ -160,7 +160,9 @@
             if self.rng.random() < 0.85:
                 known = seat.seen.get(server.name)
                 if instances.is_newer(told, known):
-                    seat.seen[server.name] = instances.keep_known(told, known)
+                    seat.seen[server.name] = instances.fill_unreported(
+                        told, known
+                    )
                 seat.lost.discard(server.name)
 
     def _crash(self) -> None:
@@ -198,7 +200,7 @@
             domains=frozenset({"d1"}),
             lost=frozenset(seat.lost),
             planners=1,
-            is_started=self.rng.random() < 0.9,
+            has_traffic=self.rng.random() < 0.9,
             now=self.now,
         )
         for item in given:
