--- a/src/hickorylead/admission/__init__.py
+++ b/src/hickorylead/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Queues, fair shares, deadlines and the retry budget."""
+"""Request queues with fair sharing and deadlines, and retry budgets."""
--- a/src/hickorylead/admission/budget.py
+++ b/src/hickorylead/admission/budget.py
@@ -1,72 +1,77 @@
-"""The retry budget: extra attempts as a share of the traffic."""
+"""Retry budgets, which limit retries to a share of the traffic."""
 
 from __future__ import annotations
 
 import attrs
 
 RETRY_SHARE = 0.08
-MAX_SAVED = 20.0
+MAX_BALANCE = 20.0
 
-# What gateways use of the operators' limits: traffic is spread unevenly over
-# them, and what each has saved may come in one window with what it earns.
+# Share of the operators' limits that gateways use. The rest is a margin:
+# traffic is spread unevenly over gateways, and each may spend its saved balance
+# in the same window as its new deposits.
 USED_SHARE = 0.75
-# Gateways assumed until a coordinator has told how many there are: a start
-# with few retries is felt for a fraction of a second.
+# Gateways assumed until a coordinator reports their number. A high number means
+# few retries at the start, which matters for a fraction of a second only.
 INITIAL_GATEWAY_COUNT = 64
-# The greatest number told lately counts, for this long, in seconds: the parts
-# of a network that is cut each know of fewer, and retry all the same.
-GATEWAYS_MEMORY_S = 60.0
+# The highest number of gateways reported within this time is used. In a
+# partitioned network each side is reported fewer gateways, while the gateways
+# of all sides continue to retry.
+GATEWAY_COUNT_RETENTION_S = 60.0
 
 
 class RetryBudget:
     """Allows retries in proportion to first attempts.
 
-    A fixed number of retries for each request multiplies the traffic exactly
-    when servers fail, and keeps it high after they are back. With a share,
-    an outage adds at most that share, whatever its size.
+    A fixed number of retries for each request would multiply the traffic just
+    when servers fail, and keep it high after they have recovered. With a
+    share, an outage of any size adds at most that share of traffic.
     """
 
     def __init__(
-        self, *, share: float = RETRY_SHARE, saved: float = 5.0
+        self, *, share: float = RETRY_SHARE, balance: float = 5.0
     ) -> None:
         """Makes a budget.
 
         Args:
-            share: Retries allowed for each first attempt.
-            saved: Retries allowed at the start.
+            share: Retries deposited for each first attempt.
+            balance: Retries available at the start.
         """
         self._share = share
-        self._saved = saved
-        self._most = MAX_SAVED
+        self._balance = balance
+        self._max_balance = MAX_BALANCE
 
-    def set_max_balance(self, most: float) -> None:
-        """Sets how many retries may be saved at most; more come at once."""
-        self._saved = min(most, self._saved + max(0.0, most - self._most))
-        self._most = most
+    def set_max_balance(self, max_balance: float) -> None:
+        """Sets the maximum balance; an increase is deposited at once."""
+        self._balance = min(
+            max_balance,
+            self._balance + max(0.0, max_balance - self._max_balance),
+        )
+        self._max_balance = max_balance
 
     def deposit(self) -> None:
-        """Counts a first attempt."""
-        self._saved = min(self._most, self._saved + self._share)
+        """Deposits the share of one first attempt."""
+        self._balance = min(self._max_balance, self._balance + self._share)
 
     def has_balance(self, count: int) -> bool:
-        """Says whether so many retries are left."""
-        return self._saved >= count
+        """Returns whether the balance covers this number of retries."""
+        return self._balance >= count
 
     def try_withdraw(self) -> bool:
-        """Takes one retry from the budget; says whether there was one."""
-        if self._saved < 1.0:
+        """Withdraws one retry; returns whether the balance covered it."""
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
 
 
 @attrs.frozen
 class RetryLimits:
-    """What the operators allow for each service, over all gateways.
+    """The operators' limits for each service, over all gateways together.
 
     Attributes:
-        ratio: Retries for each request.
-        burst: Retries beyond that, in a window of some seconds.
+        ratio: Retries per request.
+        burst: Retries beyond the ratio, in a window of a few seconds.
     """
 
     ratio: float = 0.2
@@ -77,53 +82,57 @@
 
 
 class GatewayRetryBudgets:
-    """One gateway's part of the retries that all may make.
+    """One gateway's part of the retries allowed to all gateways.
 
-    Each may save its part of what is allowed beyond the ratio. With a fixed
-    number for each, many gateways that lose replicas at the same moment would
-    make more retries together than are allowed.
+    Each gateway may save its part of the burst. With a fixed number for each,
+    many gateways that lose replicas at the same moment would together make
+    more retries than the limits allow.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
-        """Makes budgets of a gateway that does not know how many there are.
+        """Makes budgets for the initial number of gateways.
 
         Args:
-            limits: What the operators allow.
+            limits: Limits set by the operators.
         """
         self._limits = limits
         self._budgets: dict[str, RetryBudget] = {}
-        self._gateways = INITIAL_GATEWAY_COUNT
-        self._told_at: float | None = None
+        self._gateway_count = INITIAL_GATEWAY_COUNT
+        self._reported_at: float | None = None
 
     def set_gateway_count(self, count: int, now: float) -> None:
-        """Takes how many gateways there are."""
+        """Sets the reported number of gateways.
+
+        A lower number is ignored until the retention time has passed.
+        """
         if (
-            count >= self._gateways
-            or self._told_at is None
-            or now - self._told_at > GATEWAYS_MEMORY_S
+            count >= self._gateway_count
+            or self._reported_at is None
+            or now - self._reported_at > GATEWAY_COUNT_RETENTION_S
         ):
-            self._gateways = max(1, count)
-            self._told_at = now
+            self._gateway_count = max(1, count)
+            self._reported_at = now
             for budget in self._budgets.values():
-                budget.set_max_balance(self._most)
+                budget.set_max_balance(self._max_balance)
 
     @property
     def gateway_count(self) -> int:
-        """The gateways that share what all may do, the most told lately."""
-        return self._gateways
+        """Gateways that share the limits: the highest recent count."""
+        return self._gateway_count
 
     def get_budget(self, service: str) -> RetryBudget:
         """Returns the budget for the retries of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             share = USED_SHARE * self._limits.ratio
-            budget = RetryBudget(share=share, saved=self._most)
-            budget.set_max_balance(self._most)
+            budget = RetryBudget(share=share, balance=self._max_balance)
+            budget.set_max_balance(self._max_balance)
             self._budgets[service] = budget
         return budget
 
     @property
-    def _most(self) -> float:
-        # Less than one could never be spent. More gateways than retries
-        # beyond the ratio have that ratio to make up for it.
-        return max(1.0, USED_SHARE * self._limits.burst / self._gateways)
+    def _max_balance(self) -> float:
+        # A balance of less than one retry could never be spent. With more
+        # gateways than burst retries this exceeds the burst; the retries
+        # allowed by the ratio make up for it.
+        return max(1.0, USED_SHARE * self._limits.burst / self._gateway_count)
--- a/src/hickorylead/admission/queue.py
+++ b/src/hickorylead/admission/queue.py
@@ -1,8 +1,9 @@
-"""The queue of one service at one entry: urgency first, then fair shares.
+"""The queue of one service at one entry, by urgency and then by fair share.
 
-Within one urgency the workspaces share by start-time fair queueing: a request
-is tagged with the work its workspace has been given, and the lowest tag goes
-first. A workspace with a long queue therefore delays only itself.
+Requests of the same urgency are ordered by start-time fair queueing over
+workspaces: a request is tagged with the total cost of the earlier requests of
+its workspace, and the lowest tag is served first. So a workspace with a long
+queue delays only itself.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 @attrs.frozen(order=True)
-class _Place:
+class _QueueItem:
     urgency: int
     tag: float
     sequence: int
@@ -27,8 +28,8 @@
 
 
 @attrs.frozen
-class Waiting:
-    """A request taken from the queue, with when it came."""
+class QueuedRequest:
+    """A request removed from the queue, with its arrival time."""
 
     request: model.Request
     arrived_at: float
@@ -41,102 +42,101 @@
         """Makes an empty queue.
 
         Args:
-            limit: Most requests it holds.
+            limit: Maximum number of queued requests.
         """
         self._limit = limit
-        self._places: list[_Place] = []
+        self._items: list[_QueueItem] = []
         self._sequence = 0
-        self._virtual: dict[int, float] = collections.defaultdict(float)
-        self._given: dict[tuple[int, str], float] = {}
+        self._virtual_time: dict[int, float] = collections.defaultdict(float)
+        self._finish_tags: dict[tuple[int, str], float] = {}
 
     def __len__(self) -> int:
         """Returns how many requests wait."""
-        return len(self._places)
+        return len(self._items)
 
     def count_by_urgency(self) -> dict[int, int]:
         """Returns how many requests wait at each urgency."""
         counts: dict[int, int] = collections.Counter()
-        for place in self._places:
-            counts[place.urgency] += 1
+        for item in self._items:
+            counts[item.urgency] += 1
         return counts
 
     def count_ahead(self, urgency: int) -> int:
-        """Returns how many requests a new one of an urgency waits for."""
-        return sum(1 for p in self._places if p.urgency <= urgency)
+        """Returns how many queued requests are ahead of a new one."""
+        return sum(1 for p in self._items if p.urgency <= urgency)
 
     def push(self, request: model.Request, arrived_at: float) -> None:
         """Adds a request; it may exceed the limit until `shed` is called."""
         level = request.urgency
         flow = (level, request.workspace)
-        tag = max(self._virtual[level], self._given.get(flow, 0.0))
-        self._given[flow] = tag + _estimate_cost(request)
+        tag = max(self._virtual_time[level], self._finish_tags.get(flow, 0.0))
+        self._finish_tags[flow] = tag + _estimate_cost(request)
         self._sequence += 1
         bisect.insort(
-            self._places,
-            _Place(level, tag, self._sequence, request, arrived_at),
+            self._items,
+            _QueueItem(level, tag, self._sequence, request, arrived_at),
         )
 
-    def shed(self) -> Waiting | None:
-        """Takes out the request that has to give way, if there are too many.
+    def shed(self) -> QueuedRequest | None:
+        """Removes and returns the last request, if the limit is exceeded.
 
         It is the last one of the least urgent, which belongs to a workspace
-        that asked for more than its share: an urgent request is never turned
-        away while an ordinary one waits.
+        that requested more than its share. So an urgent request is never
+        refused while a less urgent one is queued.
         """
-        if len(self._places) <= self._limit:
+        if len(self._items) <= self._limit:
             return None
-        place = self._places.pop()
-        self._take_back(place)
-        return Waiting(place.request, place.arrived_at)
+        item = self._items.pop()
+        self._refund_cost(item)
+        return QueuedRequest(item.request, item.arrived_at)
 
     def peek(self) -> model.Request | None:
-        """Returns the request that goes next."""
-        return self._places[0].request if self._places else None
-
-    def pop(self) -> Waiting:
-        """Takes out the request that goes next."""
-        place = self._places.pop(0)
-        level = place.urgency
-        self._virtual[level] = max(self._virtual[level], place.tag)
-        if not any(p.urgency == level for p in self._places):
-            # Nobody waits: shares start afresh, and the table stays small.
-            for flow in [f for f in self._given if f[0] == level]:
-                if self._given[flow] <= self._virtual[level]:
-                    del self._given[flow]
-        return Waiting(place.request, place.arrived_at)
+        """Returns the next request without removing it."""
+        return self._items[0].request if self._items else None
+
+    def pop(self) -> QueuedRequest:
+        """Removes and returns the next request."""
+        item = self._items.pop(0)
+        level = item.urgency
+        self._virtual_time[level] = max(self._virtual_time[level], item.tag)
+        if not any(p.urgency == level for p in self._items):
+            # No request of this urgency is queued: tags that are no longer
+            # needed are removed, so that the table stays small.
+            for flow in [f for f in self._finish_tags if f[0] == level]:
+                if self._finish_tags[flow] <= self._virtual_time[level]:
+                    del self._finish_tags[flow]
+        return QueuedRequest(item.request, item.arrived_at)
 
     def remove(self, request_id: str) -> bool:
-        """Takes out a request by its id; says whether it was there."""
-        for index, place in enumerate(self._places):
-            if place.request.request_id == request_id:
-                del self._places[index]
-                self._take_back(place)
+        """Removes a request by its id; returns whether it was queued."""
+        for index, item in enumerate(self._items):
+            if item.request.request_id == request_id:
+                del self._items[index]
+                self._refund_cost(item)
                 return True
         return False
 
-    def take_late(self, now: float) -> list[Waiting]:
-        """Takes out all requests whose deadline has passed."""
+    def pop_overdue(self, now: float) -> list[QueuedRequest]:
+        """Removes and returns all requests whose deadline has passed."""
         late = [
-            p
-            for p in self._places
-            if now - p.arrived_at >= p.request.deadline_s
+            p for p in self._items if now - p.arrived_at >= p.request.deadline_s
         ]
-        for place in late:
-            self.remove(place.request.request_id)
-        return [Waiting(p.request, p.arrived_at) for p in late]
+        for item in late:
+            self.remove(item.request.request_id)
+        return [QueuedRequest(p.request, p.arrived_at) for p in late]
 
-    def take_all(self) -> list[Waiting]:
-        """Takes out every request."""
-        places, self._places = self._places, []
-        return [Waiting(p.request, p.arrived_at) for p in places]
+    def drain(self) -> list[QueuedRequest]:
+        """Removes and returns all requests."""
+        items, self._items = self._items, []
+        return [QueuedRequest(p.request, p.arrived_at) for p in items]
 
-    def _take_back(self, place: _Place) -> None:
-        flow = (place.urgency, place.request.workspace)
-        cost = _estimate_cost(place.request)
-        if flow in self._given:
-            self._given[flow] = max(0.0, self._given[flow] - cost)
+    def _refund_cost(self, item: _QueueItem) -> None:
+        flow = (item.urgency, item.request.workspace)
+        cost = _estimate_cost(item.request)
+        if flow in self._finish_tags:
+            self._finish_tags[flow] = max(0.0, self._finish_tags[flow] - cost)
 
 
 def _estimate_cost(request: model.Request) -> float:
-    """Returns the work of a request in tokens; prompt tokens are cheap."""
+    """Returns the cost of a request in tokens; prompt tokens count less."""
     return 1.0 + 0.1 * request.prompt_tokens + request.max_tokens
--- a/src/hickorylead/placement/__init__.py
+++ b/src/hickorylead/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which VM belongs to which replica group, and the repair of groups."""
+"""Assignment of VMs to replica groups, and the repair of groups."""
--- a/src/hickorylead/placement/groups.py
+++ b/src/hickorylead/placement/groups.py
@@ -1,4 +1,4 @@
-"""Replica groups as the holder of the zone lease knows them."""
+"""Replica groups, as tracked by the holder of the zone lease."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
     """One replica group.
 
     Attributes:
-        name: Unique in the deployment; never used again.
-        service: Service it runs.
-        weights: Weights its members hold or load.
+        name: Unique in the deployment; never reused.
+        service: Service that it runs.
+        weights: Weights that its members hold or load.
         domain: Fabric domain of all members.
-        generation: Rises each time the member list changes.
-        vms: Members by rank; empty names are members that are lost.
-        broken_since: Since when a member is lost; None if none is.
-        draining_since: Since when it takes no new work; None if it does.
-        was_whole: Whether it has served.
+        generation: Incremented each time the member list changes.
+        vms: Members by rank; an empty name stands for a lost member.
+        broken_since: When a member was found lost; None if the group is
+            complete.
+        draining_since: When it stopped accepting new requests; None if it
+            accepts them.
+        was_ready: Whether it has been ready to serve at any time.
     """
 
     name: str
@@ -38,19 +40,19 @@
     vms: list[str]
     broken_since: float | None = None
     draining_since: float | None = None
-    was_whole: bool = False
+    was_ready: bool = False
 
     @property
     def size(self) -> int:
-        """VMs the group needs."""
+        """Number of VMs that the group needs."""
         return len(self.vms)
 
 
 def is_ready(group: Group, members: Mapping[str, registry.Member]) -> bool:
-    """Says whether every VM of a group is present and ready to serve.
+    """Returns whether every VM of a group is present and ready to serve.
 
-    Only what the VMs announce counts: an order may have been lost, refused,
-    or overtaken by an older one, and the group must not serve then.
+    Only the announcements of the VMs count: an order may have been lost,
+    refused, or overtaken by an older one, and then the group must not serve.
     """
     for rank, vm in enumerate(group.vms):
         member = members.get(vm)
@@ -70,10 +72,10 @@
 
 
 def adopt_groups(members: Mapping[str, registry.Member]) -> dict[str, Group]:
-    """Returns the groups that the present servers say they belong to.
+    """Returns the groups that the present servers announce as theirs.
 
-    A new holder of the lease takes these over instead of building its own:
-    what runs goes on running.
+    A new lease holder adopts these instead of forming its own, so that
+    running groups continue to run.
     """
     newest: dict[str, int] = {}
     for member in members.values():
--- a/src/hickorylead/placement/orders.py
+++ b/src/hickorylead/placement/orders.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers, as the published interface has them."""
+"""Orders to backend servers, as the published interface defines them."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 class Assign:
     """Makes a server a member of a replica group.
 
-    A server that belongs to another group refuses it: it must be released
-    first. So no order, however late, puts a VM into two groups.
+    A server that belongs to another group refuses the order: it must be
+    released first. So no order, however late, puts a VM into two groups.
 
     Attributes:
-        vm: Server ordered.
+        vm: Server that receives the order.
         address: Its `ip:port`.
         fence: Fencing number of the holder of the zone lease.
         group: Replica group.
         generation: Generation of the member list.
-        rank: The server's place in the group.
+        rank: The server's rank in the group.
         members: Addresses of all members, by rank.
         service: Service that the group runs.
         weights: Weights to load, as `Service.weights` names them.
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Release:
-    """Takes a server out of a replica group."""
+    """Removes a server from a replica group."""
 
     vm: str
     address: str
@@ -53,6 +53,6 @@
 
 @attrs.frozen
 class SendOrder:
-    """Effect: give an order to its server, unless the lease has ended."""
+    """Effect: send an order to its server, unless the lease has ended."""
 
     order: Order
--- a/src/hickorylead/placement/planner.py
+++ b/src/hickorylead/placement/planner.py
@@ -1,7 +1,7 @@
-"""The holder's decisions: form groups, repair them, drain them, release VMs.
+"""Placement decisions: form, repair and drain groups, and release VMs.
 
-The planner sees the present servers and the configuration, and gives orders.
-What it believes is soft: a new holder rebuilds it from announcements.
+The planner reads the present servers and the configuration, and issues orders.
+Its state is soft: a new lease holder rebuilds it from announcements.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
     from hickorylead.placement.groups import Group
 
 ORDER_RETRY_S = 3.0
-# Entries hear within two seconds that a group drains; until then they may
-# still send it work, so it is not released before.
+# Entries are notified within two seconds that a group drains. Until then they
+# may still send it requests, so it must not be released earlier.
 DRAIN_MIN_S = 5.0
 
 
 @attrs.frozen
 class Policy:
-    """The trade between group downtime and stranded accelerators.
+    """The trade-off between group downtime and stranded accelerators.
 
     Attributes:
         spares: Free VMs to leave in each fabric domain, where there is a
-            choice of domains. A wanted group is formed all the same: a VM
-            kept free while a replica is missing is stranded for certain, and
-            the failure that it waits for is not.
-        hold_broken_s: How long a broken group may hold its survivors while
-            no spare is free, in seconds.
-        max_loads: Groups of one zone that may load weights at a time.
+            choice of domains. A wanted group is formed even if no spares
+            remain: a VM kept free while a replica is missing is certainly
+            stranded, while the failure that it is kept for may not occur.
+        hold_broken_s: How long a broken group may hold its surviving members
+            while no spare is free, in seconds.
+        max_loads: Groups of one zone that may load weights at the same time.
     """
 
     spares: int = 1
@@ -45,26 +45,26 @@
 
 
 @attrs.define
-class Pending:
-    """An order given, not yet seen in an announcement."""
+class PendingOrder:
+    """An issued order that no announcement has confirmed yet."""
 
     order: orders.Order
     sent_at: float
 
 
 class Planner:
-    """Placement in one zone, by the process that holds its lease."""
+    """Placement in one zone, run by the process that holds its lease."""
 
     def __init__(self, *, zone: str, policy: Policy) -> None:
-        """Makes a planner that knows no group.
+        """Makes a planner without groups.
 
         Args:
-            zone: The zone it decides for.
-            policy: The trade that the operators chose.
+            zone: The zone whose groups it plans.
+            policy: The trade-off that the operators chose.
         """
         self._zone = zone
         self._policy = policy
-        self._pending: dict[str, Pending] = {}
+        self._pending: dict[str, PendingOrder] = {}
         self._counter = 0
         self.groups: dict[str, Group] = {}
         self._members: dict[str, registry.Member] = {}
@@ -72,10 +72,10 @@
         self._ranks: dict[str, int] = {}
         self._fence = 0
         self._now = 0.0
-        self._given: list[orders.SendOrder] = []
+        self._issued: list[orders.SendOrder] = []
 
     def adopt(self, members: dict[str, registry.Member]) -> None:
-        """Takes over what runs; to be called when the lease is new."""
+        """Adopts the running groups; to be called when the lease is new."""
         self._pending.clear()
         self.groups = groups_module.adopt_groups(members)
 
@@ -88,51 +88,52 @@
         fence: int,
         now: float,
     ) -> list[orders.SendOrder]:
-        """Returns the orders that the present state asks for.
+        """Returns the orders that the present state requires.
 
         Args:
             members: Present servers, by VM.
-            configuration: What is wanted; None while this process does not
-                surely know what is in force. Then groups are repaired, but
-                none is formed or drained: taking an unknown configuration
-                for an empty one would stop every replica of the zone.
-            shares: Services by rank, with the replicas to run here.
+            configuration: The configuration in force; None while this process
+                is not sure what it is. Then groups are repaired, but none is
+                formed or drained: treating an unknown configuration as an
+                empty one would stop every replica of the zone.
+            shares: Services by rank, with the number of replicas to run in
+                this zone.
             fence: Fencing number of the lease held.
-            now: Present time.
+            now: Current time.
         """
         self._members = members
         drained = configuration.drained if configuration else ()
         self._drained = frozenset(drained)
         self._fence = fence
         self._now = now
-        self._given = []
-        self._forget_done_orders()
-        self._check_groups()
+        self._issued = []
+        self._clear_completed_orders()
+        self._update_groups()
         self._repair_groups()
         if configuration is not None:
             self._ranks = {s.name: s.rank for s in configuration.services}
             self._balance_services(shares)
         self._release_drained()
         self._release_strays()
-        return self._given
+        return self._issued
 
     def is_settled(self) -> bool:
-        """Says whether nothing is under way that time alone could change."""
+        """Returns whether nothing is in progress that time could change."""
         return not self._pending and all(
-            group.was_whole
+            group.was_ready
             and group.broken_since is None
             and group.draining_since is None
             for group in self.groups.values()
         )
 
     def is_serving(self, group: Group) -> bool:
-        """Says whether entries may send new work to a group."""
+        """Returns whether entries may send new requests to a group."""
         return group.draining_since is None and groups_module.is_ready(
             group, self._members
         )
 
     def count_stranded(self) -> int:
-        """Returns how many healthy VMs sit in no serving group."""
+        """Returns how many present engine VMs belong to no serving group."""
         serving = {
             vm
             for group in self.groups.values()
@@ -146,21 +147,21 @@
             and vm not in serving
         )
 
-    # What the announcements say.
+    # State from announcements.
 
-    def _forget_done_orders(self) -> None:
+    def _clear_completed_orders(self) -> None:
         for vm, pending in list(self._pending.items()):
             member = self._members.get(vm)
-            if member is None or _is_done(pending.order, member.state):
+            if member is None or _is_completed(pending.order, member.state):
                 del self._pending[vm]
 
-    def _check_groups(self) -> None:
+    def _update_groups(self) -> None:
         for group in list(self.groups.values()):
             for rank, vm in enumerate(group.vms):
-                if vm and not self._belongs(group, rank, vm):
+                if vm and not self._is_member(group, rank, vm):
                     group.vms[rank] = ""
             if groups_module.is_ready(group, self._members):
-                group.was_whole = True
+                group.was_ready = True
             if all(group.vms):
                 group.broken_since = None
             elif group.broken_since is None:
@@ -168,13 +169,13 @@
             if not any(group.vms):
                 del self.groups[group.name]
 
-    def _belongs(self, group: Group, rank: int, vm: str) -> bool:
+    def _is_member(self, group: Group, rank: int, vm: str) -> bool:
         member = self._members.get(vm)
         if member is None:
             return False
         state = member.state
         if state.phase == announcements.PHASE_LEAVING:
-            # It finishes what it has; the group drains, see below.
+            # It finishes its running requests; the group drains, see below.
             return state.group == group.name
         if vm in self._pending:
             return True
@@ -189,12 +190,12 @@
     def _repair_groups(self) -> None:
         for group in list(self.groups.values()):
             if group.broken_since is None:
-                if any(self._is_unwanted(vm) for vm in group.vms):
+                if any(self._must_leave(vm) for vm in group.vms):
                     self._drain(group)
                 continue
             self._repair(group)
 
-    def _is_unwanted(self, vm: str) -> bool:
+    def _must_leave(self, vm: str) -> bool:
         state = self._members[vm].state
         return vm in self._drained or (
             state.phase == announcements.PHASE_LEAVING
@@ -202,15 +203,15 @@
 
     def _repair(self, group: Group) -> None:
         if group.draining_since is not None or any(
-            vm and self._is_unwanted(vm) for vm in group.vms
+            vm and self._must_leave(vm) for vm in group.vms
         ):
-            # A member that leaves must not be ordered to stay.
+            # A member that is leaving must not be assigned again.
             self._disband(group)
             return
-        lost = [rank for rank, vm in enumerate(group.vms) if not vm]
+        lost_ranks = [rank for rank, vm in enumerate(group.vms) if not vm]
         spares = self._list_free(group.domain, group.weights)
-        if len(spares) >= len(lost):
-            for rank, vm in zip(lost, spares, strict=False):
+        if len(spares) >= len(lost_ranks):
+            for rank, vm in zip(lost_ranks, spares, strict=False):
                 group.vms[rank] = vm
             group.generation += 1
             group.broken_since = None
@@ -218,9 +219,9 @@
             return
         assert group.broken_since is not None
         held_s = self._now - group.broken_since
-        # Survivors that wait for a spare serve nobody. They are given back at
-        # once where a whole group can be formed from free VMs elsewhere, and
-        # in any case after the time the operators chose.
+        # Surviving members that wait for a spare serve no requests. They are
+        # released at once if a complete group can be formed from free VMs in
+        # some domain, and in any case after the time the operators chose.
         if held_s >= self._policy.hold_broken_s or self._find_domain(
             group.service, group.size, group.weights
         ):
@@ -232,40 +233,40 @@
             if vm:
                 self._release(vm, group.name, group.generation)
 
-    # What is wanted against what there is.
+    # Balance of wanted and existing groups.
 
     def _balance_services(
         self, shares: list[tuple[model.Service, int]]
     ) -> None:
-        """Brings up what is missing first, then drains what is too many.
+        """Forms missing groups first, then drains surplus ones.
 
-        Where free VMs do not suffice, surplus groups are drained at once, as
-        nothing else can make room.
+        If there are too few free VMs, surplus groups are drained at once,
+        because nothing else can make room.
         """
-        missing = short = False
+        missing = has_shortage = False
         for service, wanted in shares:
-            current, old = self._list_live(service)
+            current, old = self._list_undrained(service)
             while len(current) < wanted:
-                # The weight store is rate-limited: many loads at once would
-                # all be late. Services come in the order of their rank, so
-                # the first loads are the most urgent.
+                # The weight store is rate-limited: many concurrent loads
+                # would all be slow. Services are in the order of their rank,
+                # so the most urgent ones load first.
                 if self._count_loading() >= self._policy.max_loads:
                     break
-                group = self._form(service)
+                group = self._form_group(service)
                 if group is None:
-                    short = True
+                    has_shortage = True
                     self._make_room(service, old)
                     break
                 current.append(group)
             serving = sum(1 for g in current if self.is_serving(g))
             missing = missing or serving < wanted
-        if short or not missing:
+        if has_shortage or not missing:
             self._drain_surplus(shares)
 
-    def _list_live(
+    def _list_undrained(
         self, service: model.Service
     ) -> tuple[list[Group], list[Group]]:
-        """Returns a service's undrained groups: as wanted now, and older."""
+        """Returns a service's undrained groups: current and outdated ones."""
         current: list[Group] = []
         old: list[Group] = []
         for group in self.groups.values():
@@ -286,38 +287,38 @@
             if group.service not in names:
                 self._drain(group)
         for service, wanted in shares:
-            current, old = self._list_live(service)
+            current, old = self._list_undrained(service)
             serving = sum(1 for g in current if self.is_serving(g))
             keep_old = max(0, wanted - serving)
-            surplus = self._order_surplus(old)[: max(0, len(old) - keep_old)]
+            surplus = self._sort_surplus(old)[: max(0, len(old) - keep_old)]
             too_many = max(0, len(current) - wanted)
-            surplus += self._order_surplus(current)[:too_many]
+            surplus += self._sort_surplus(current)[:too_many]
             for group in surplus:
                 self._drain(group)
 
-    def _order_surplus(self, groups: list[Group]) -> list[Group]:
-        """Returns groups, first those whose end costs least."""
+    def _sort_surplus(self, groups: list[Group]) -> list[Group]:
+        """Returns groups sorted by the cost of draining, cheapest first."""
 
-        def weigh(group: Group) -> tuple[bool, int, str]:
+        def get_sort_key(group: Group) -> tuple[bool, int, str]:
             member = self._members.get(group.vms[0])
             load = member.load if member else announcements.Load()
             busy = load.running + load.queued
             return (self.is_serving(group), busy, group.name)
 
-        return sorted(groups, key=weigh)
+        return sorted(groups, key=get_sort_key)
 
     def _make_room(self, service: model.Service, old: list[Group]) -> None:
         """Drains one group so that a wanted one can be formed.
 
-        The old version of the same service goes first. Only then is a group
-        of a lower rank taken, and only for a service with nothing serving:
-        otherwise a shortage would be moved around, and each move costs a
-        load.
+        A group with the old version of the same service is drained first. A
+        group of a lower rank is drained only for a service that has no
+        serving group: otherwise the shortage would move from service to
+        service, and each move costs a load of weights.
         """
         if any(g.draining_since is not None for g in self.groups.values()):
             return
         if old:
-            self._drain(self._order_surplus(old)[0])
+            self._drain(self._sort_surplus(old)[0])
             return
         if any(
             self.is_serving(g) or g.broken_since is None
@@ -332,9 +333,9 @@
             and g.size >= service.group_size
         ]
         if lower:
-            self._drain(self._order_surplus(lower)[0])
+            self._drain(self._sort_surplus(lower)[0])
 
-    def _form(self, service: model.Service) -> Group | None:
+    def _form_group(self, service: model.Service) -> Group | None:
         domain = self._find_domain(
             service.name, service.group_size, service.weights
         )
@@ -364,12 +365,12 @@
         )
 
     def _find_domain(self, service: str, size: int, weights: str) -> str | None:
-        """Returns the domain with room for a group, the best one first.
+        """Returns the best domain with room for a group; None if none has.
 
-        A domain that keeps its spares comes first. Then one with few groups
-        of the same service, or the loss of one domain would take all replicas
-        of a service with it; then one that holds the weights, and then the
-        fullest one that still fits, so that large groups find room later.
+        Preferred are, in this order: a domain that keeps its spares; one with
+        few groups of the same service, so that the loss of one domain does
+        not stop all replicas of a service; one whose VMs hold the weights;
+        and the fullest one that fits, so that large groups find room later.
         """
         free: dict[str, list[str]] = collections.defaultdict(list)
         for vm in self._list_free(None, weights):
@@ -377,12 +378,12 @@
         fitting = [d for d, vms in free.items() if len(vms) >= size]
         if not fitting:
             return None
-        fellows = collections.Counter(
+        group_counts = collections.Counter(
             g.domain for g in self.groups.values() if g.service == service
         )
 
-        def weigh(domain: str) -> tuple[bool, int, int, int, str]:
-            holders = sum(
+        def get_sort_key(domain: str) -> tuple[bool, int, int, int, str]:
+            with_weights = sum(
                 1
                 for vm in free[domain]
                 if self._members[vm].state.weights == weights
@@ -390,24 +391,24 @@
             room = len(free[domain])
             return (
                 room - size < self._policy.spares,
-                fellows[domain],
-                -min(holders, size),
+                group_counts[domain],
+                -min(with_weights, size),
                 room,
                 domain,
             )
 
-        return min(fitting, key=weigh)
+        return min(fitting, key=get_sort_key)
 
     def _list_free(self, domain: str | None, weights: str) -> list[str]:
         """Returns free VMs, those that hold the weights first."""
-        taken = {vm for g in self.groups.values() for vm in g.vms}
+        assigned = {vm for g in self.groups.values() for vm in g.vms}
         free = [
             (m.state.weights != weights, vm)
             for vm, m in self._members.items()
             if m.state.kind == announcements.KIND_ENGINE
             and m.state.phase != announcements.PHASE_LEAVING
             and not m.state.group
-            and vm not in taken
+            and vm not in assigned
             and vm not in self._pending
             and vm not in self._drained
             and m.missing_since is None
@@ -415,7 +416,7 @@
         ]
         return [vm for _, vm in sorted(free)]
 
-    # Ends of groups.
+    # Draining and release.
 
     def _drain(self, group: Group) -> None:
         if group.draining_since is None:
@@ -433,10 +434,10 @@
                 self._disband(group)
 
     def _release_strays(self) -> None:
-        """Frees VMs that announce a group they are not part of.
+        """Releases VMs that announce a group they are not a member of.
 
-        They come back from a pause after their group was repaired, or took
-        an order that a former holder gave late.
+        Such a VM was unresponsive while its group was repaired, or accepted a
+        late order of a previous lease holder. Also repeats overdue orders.
         """
         listed = {
             vm: group
@@ -449,13 +450,13 @@
             group = listed.get(vm)
             if not state.group or (group and group.name == state.group):
                 continue
-            if vm not in self._pending or self._is_late(vm):
+            if vm not in self._pending or self._is_overdue(vm):
                 self._release(vm, state.group, state.generation)
         for vm, pending in list(self._pending.items()):
-            if vm in listed and self._is_late(vm):
-                self._give(pending.order)
+            if vm in listed and self._is_overdue(vm):
+                self._issue(pending.order)
 
-    def _is_late(self, vm: str) -> bool:
+    def _is_overdue(self, vm: str) -> bool:
         return self._now - self._pending[vm].sent_at >= ORDER_RETRY_S
 
     # Orders.
@@ -463,7 +464,7 @@
     def _assign_all(self, group: Group) -> None:
         addresses = tuple(self._members[vm].state.address for vm in group.vms)
         for rank, vm in enumerate(group.vms):
-            self._give(
+            self._issue(
                 orders.Assign(
                     vm=vm,
                     address=addresses[rank],
@@ -481,19 +482,21 @@
         member = self._members.get(vm)
         if member is None:
             return
-        self._give(
+        self._issue(
             orders.Release(
                 vm, member.state.address, self._fence, group, generation
             )
         )
 
-    def _give(self, order: orders.Order) -> None:
+    def _issue(self, order: orders.Order) -> None:
         order = attrs.evolve(order, fence=self._fence)
-        self._pending[order.vm] = Pending(order, self._now)
-        self._given.append(orders.SendOrder(order))
+        self._pending[order.vm] = PendingOrder(order, self._now)
+        self._issued.append(orders.SendOrder(order))
 
 
-def _is_done(order: orders.Order, state: announcements.ServerState) -> bool:
+def _is_completed(
+    order: orders.Order, state: announcements.ServerState
+) -> bool:
     match order:
         case orders.Assign():
             return (
--- a/src/hickorylead/requests/__init__.py
+++ b/src/hickorylead/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request at an entry: attempts, frames, verdicts."""
+"""Requests at an entry, from arrival to final effect."""
--- a/src/hickorylead/requests/dispatcher.py
+++ b/src/hickorylead/requests/dispatcher.py
@@ -1,8 +1,8 @@
-"""The life of requests at one entry, as a reducer.
+"""The processing of requests at one entry, as a reducer.
 
 A request is claimed (if it may run only once), queued, sent to a replica,
-and ends with exactly one final effect. All times are monotonic seconds but
-for `wall`, which is only compared with the time in a key.
+and ends with exactly one final effect. All times are monotonic seconds except
+`wall_time`, which is only compared with the time in an idempotency key.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 Verdict = verdict_module.Verdict
 Effect: TypeAlias = events.Effect | claim_messages.Send
 
-SILENT_KEEPALIVES = 3
-FIRST_DURATION_S = 1.0
+MAX_MISSED_KEEPALIVES = 3
+INITIAL_DURATION_S = 1.0
 
 
 class Dispatcher:
-    """All open requests of one entry."""
+    """All pending requests of one entry."""
 
     def __init__(
         self,
@@ -51,19 +51,19 @@
         Args:
             entry: Name of this entry.
             controls: Control processes by zone, which hold claims.
-            table: Replicas that serve.
-            book: What this entry has seen of them.
-            policy: The choice of a replica.
-            guard: Contents that no replica may get, and lost runs.
+            table: Replicas that accept requests.
+            book: Health of the replicas, as observed by this entry.
+            policy: Chooses the replica for a request.
+            guard: Tracks blocked request hashes and lost runs.
         """
         self._entry = entry
         self._controls = controls
         self._table = table
-        self._book = book
+        self._health = book
         self._policy = policy
         self._guard = guard
         self._budget = budget_module.RetryBudget()
-        self._open: dict[str, state.PendingRequest] = {}
+        self._pending: dict[str, state.PendingRequest] = {}
         self._by_attempt: dict[str, str] = {}
         self._claiming: set[str] = set()
         self._duration_s: dict[str, float] = {}
@@ -72,8 +72,8 @@
         self.draining = False
 
     def count_open(self) -> int:
-        """Returns how many requests have no final answer yet."""
-        return len(self._open)
+        """Returns how many requests have no final response yet."""
+        return len(self._pending)
 
     def handle(
         self,
@@ -84,21 +84,23 @@
         """Handles one event."""
         match event:
             case events.FrameArrived():
-                return self._take_frame(event, now)
-            case events.RequestArrived(request, wall):
-                return self._arrive(request, wall, configuration, now)
+                return self._handle_frame(event, now)
+            case events.RequestArrived(request, wall_time):
+                return self._handle_arrival(
+                    request, wall_time, configuration, now
+                )
             case events.AnswerArrived():
-                return self._take_answer(event, now)
+                return self._handle_response(event, now)
             case events.AttemptFailed():
-                return self._take_failure(event, now)
+                return self._handle_failure(event, now)
             case events.CallerDisconnected(request_id):
-                return self._leave(request_id, now)
+                return self._handle_disconnect(request_id, now)
 
     def receive_claim(
         self, reply: claim_messages.ClaimReply, now: float
     ) -> list[Effect]:
-        """Handles a holder's reply to a claim."""
-        request = self._open.get(reply.owner)
+        """Handles a claim holder's reply."""
+        request = self._pending.get(reply.owner)
         if request is None or request.claimant is None:
             return []
         if request.phase != "claiming":
@@ -107,23 +109,26 @@
         return effects + self._follow_claim(request, now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Lets time pass: claims, deadlines, silent streams, the queues."""
+        """Handles retries of claims, deadlines and stream timeouts."""
         effects: list[Effect] = []
         for request_id in sorted(self._claiming):
-            waiting = self._open[request_id]
-            assert waiting.claimant is not None
-            effects += waiting.claimant.tick(now)
-            effects += self._follow_claim(waiting, now)
+            pending = self._pending[request_id]
+            assert pending.claimant is not None
+            effects += pending.claimant.tick(now)
+            effects += self._follow_claim(pending, now)
         for service in list(self.queues):
-            for late in self.queues[service].take_late(now):
+            for late in self.queues[service].pop_overdue(now):
                 effects += self._refuse_late(late.request.request_id, now)
-        for request in list(self._open.values()):
+        for request in list(self._pending.values()):
             if request.current_attempt is not None:
-                effects += self._check_running(request, now)
+                effects += self._check_attempt(request, now)
         return effects + self.dispatch_all(now)
 
     def dispatch_all(self, now: float) -> list[Effect]:
-        """Starts what can be started; to be called when the table changes."""
+        """Starts queued requests that have a replica available.
+
+        To be called when the table changes.
+        """
         effects: list[Effect] = []
         for service in list(self.queues):
             effects += self._dispatch(service, now)
@@ -131,10 +136,10 @@
 
     # Arrival and claims.
 
-    def _arrive(
+    def _handle_arrival(
         self,
         request: model.Request,
-        wall: float,
+        wall_time: float,
         configuration: configuration_model.Configuration,
         now: float,
     ) -> list[Effect]:
@@ -142,7 +147,7 @@
             request.request_id, request.service, request.workspace, now
         )
         service = configuration.find_service(request.service)
-        opened = state.PendingRequest(
+        pending = state.PendingRequest(
             request,
             now,
             non_idempotent=bool(service and service.non_idempotent),
@@ -156,20 +161,20 @@
                 ),
             ),
         )
-        self._open[request.request_id] = opened
-        problem = self._check_arrival(opened, service)
+        self._pending[request.request_id] = pending
+        problem = self._check_arrival(pending, service)
         if problem is not None:
-            return self._refuse(opened, problem, now)
-        if opened.non_idempotent:
-            return self._claim(opened, wall, now)
-        return self._enqueue(opened, now)
+            return self._refuse(pending, problem, now)
+        if pending.non_idempotent:
+            return self._claim(pending, wall_time, now)
+        return self._enqueue(pending, now)
 
     def _check_arrival(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         service: configuration_model.Service | None,
     ) -> model.Problem | None:
-        name = opened.request.service
+        name = pending.request.service
         if service is None:
             return model.Problem(
                 404,
@@ -182,10 +187,10 @@
                 503,
                 "entry_stopping",
                 Verdict.NOT_RUN,
-                "this entry is being stopped; ask another one",
+                "this entry is stopping; send the request to another one",
                 outcomes.MIN_RETRY_AFTER_S,
             )
-        if opened.non_idempotent and not opened.request.idempotency_key:
+        if pending.non_idempotent and not pending.request.idempotency_key:
             return model.Problem(
                 400,
                 "key_required",
@@ -204,51 +209,51 @@
         return None
 
     def _claim(
-        self, opened: state.PendingRequest, wall: float, now: float
+        self, pending: state.PendingRequest, wall_time: float, now: float
     ) -> list[Effect]:
-        request = opened.request
+        request = pending.request
         key = (
             f"{request.service}\n{request.workspace}\n{request.idempotency_key}"
         )
-        opened.phase = "claiming"
-        opened.claimant = claimant.Claimant(
+        pending.phase = "claiming"
+        pending.claimant = claimant.Claimant(
             claim_messages.ClaimRequest(
                 entry=self._entry,
                 key=key,
                 owner=request.request_id,
                 fingerprint=outcomes.hash_request(request),
                 made_at=request.key_created_at,
-                wall=wall,
+                wall=wall_time,
             ),
             claimant.choose_holders(key, self._controls),
         )
         self._claiming.add(request.request_id)
-        return [*opened.claimant.start(now)]
+        return [*pending.claimant.start(now)]
 
     def _follow_claim(
-        self, opened: state.PendingRequest, now: float
+        self, pending: state.PendingRequest, now: float
     ) -> list[Effect]:
-        assert opened.claimant is not None
-        result = opened.claimant.result
+        assert pending.claimant is not None
+        result = pending.claimant.result
         if result == "waiting":
             return []
-        self._claiming.discard(opened.request.request_id)
-        self.trails.add(opened.request.request_id, now, f"claim_{result}")
+        self._claiming.discard(pending.request.request_id)
+        self.trails.add(pending.request.request_id, now, f"claim_{result}")
         if result == "granted":
-            return self._enqueue(opened, now)
-        answer = opened.claimant.answer
-        opened.claimant = None
+            return self._enqueue(pending, now)
+        answer = pending.claimant.answer
+        pending.claimant = None
         if result == "finished" and answer is not None and answer.complete:
-            return self._replay(opened, answer)
+            return self._replay(pending, answer)
         return self._refuse(
-            opened, outcomes.describe_claim(result, answer), now
+            pending, outcomes.describe_claim(result, answer), now
         )
 
     def _replay(
-        self, opened: state.PendingRequest, answer: claim_messages.FinalAnswer
+        self, pending: state.PendingRequest, answer: claim_messages.FinalAnswer
     ) -> list[Effect]:
-        request_id = opened.request.request_id
-        del self._open[request_id]
+        request_id = pending.request.request_id
+        del self._pending[request_id]
         if answer.content_type == outcomes.COMPLETION_TYPE:
             return [
                 events.EmitText(request_id, answer.body.decode()),
@@ -267,77 +272,80 @@
     # The queue.
 
     def _enqueue(
-        self, opened: state.PendingRequest, now: float
+        self, pending: state.PendingRequest, now: float
     ) -> list[Effect]:
-        request = opened.request
-        # Arrivals and retries both come by here; without a look, each
-        # submission of a request that ends its server ended some more.
-        blocked_s = self._guard.get_block_remaining_s(opened.request_hash, now)
+        request = pending.request
+        # Both new requests and retries are checked here. Otherwise each
+        # submission of a request that crashes its server would crash more
+        # servers.
+        blocked_s = self._guard.get_block_remaining_s(pending.request_hash, now)
         if blocked_s is not None:
-            problem = outcomes.describe_block(opened.verdict, blocked_s)
-            return self._refuse(opened, problem, now)
-        waiting = self.queues.setdefault(request.service, queue.FairQueue())
-        opened.phase = "queued"
-        if not opened.attempt_count:
-            wait_s = self._estimate_wait(request, waiting)
+            problem = outcomes.describe_block(pending.verdict, blocked_s)
+            return self._refuse(pending, problem, now)
+        service_queue = self.queues.setdefault(
+            request.service, queue.FairQueue()
+        )
+        pending.phase = "queued"
+        if not pending.attempt_count:
+            wait_s = self._estimate_wait(request, service_queue)
             if wait_s > request.deadline_s:
                 return self._refuse(
-                    opened, outcomes.describe_overload(wait_s), now
+                    pending, outcomes.describe_overload(wait_s), now
                 )
-        waiting.push(request, opened.arrived_at)
+        service_queue.push(request, pending.arrived_at)
         effects = self._dispatch(request.service, now)
-        shed = waiting.shed()
+        shed = service_queue.shed()
         if shed is not None:
-            wait_s = self._estimate_wait(shed.request, waiting)
-            loser = self._open[shed.request.request_id]
+            wait_s = self._estimate_wait(shed.request, service_queue)
+            shed_request = self._pending[shed.request.request_id]
             effects += self._refuse(
-                loser, outcomes.describe_overload(wait_s), now
+                shed_request, outcomes.describe_overload(wait_s), now
             )
         return effects
 
     def _estimate_wait(
-        self, request: model.Request, waiting: queue.FairQueue
+        self, request: model.Request, service_queue: queue.FairQueue
     ) -> float:
-        ahead = waiting.count_ahead(request.urgency)
+        ahead = service_queue.count_ahead(request.urgency)
         if not ahead:
             return 0.0
         running = sum(
             1
-            for other in self._open.values()
+            for other in self._pending.values()
             if other.current_attempt
             and other.request.service == request.service
         )
-        duration_s = self._duration_s.get(request.service, FIRST_DURATION_S)
+        duration_s = self._duration_s.get(request.service, INITIAL_DURATION_S)
         return ahead * duration_s / max(1, running)
 
     def _dispatch(self, service: str, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        waiting = self.queues.get(service)
-        while waiting:
-            request = waiting.peek()
+        service_queue = self.queues.get(service)
+        while service_queue:
+            request = service_queue.peek()
             assert request is not None
-            opened = self._open[request.request_id]
-            choice = self._policy.choose(request, opened.failed_groups, now)
+            pending = self._pending[request.request_id]
+            choice = self._policy.choose(request, pending.failed_groups, now)
             match choice:
                 case policy_module.Choice():
-                    waiting.pop()
-                    effects += self._start(opened, choice, now)
+                    service_queue.pop()
+                    effects += self._start_attempt(pending, choice, now)
                 case policy_module.Unavailable(
                     has_untried_replica=True, pause_s=pause_s
-                ) if pause_s and _ends_before(opened, now + pause_s):
-                    waiting.pop()
-                    problem = outcomes.describe_pause(opened.verdict, pause_s)
-                    effects += self._refuse(opened, problem, now)
+                ) if pause_s and _ends_before(pending, now + pause_s):
+                    service_queue.pop()
+                    problem = outcomes.describe_pause(pending.verdict, pause_s)
+                    effects += self._refuse(pending, problem, now)
                 case policy_module.Unavailable(has_untried_replica=True):
                     break
                 case policy_module.Unavailable():
-                    waiting.pop()
+                    service_queue.pop()
                     effects += self._refuse(
-                        opened,
+                        pending,
                         model.Problem(
                             503,
                             "no_replica",
-                            opened.verdict,
+                            pending.verdict,
                             "no replica is left to try",
                             outcomes.NO_REPLICA_RETRY_S,
                         ),
@@ -345,26 +353,26 @@
                     )
         return effects
 
-    def _start(
+    def _start_attempt(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         choice: policy_module.Choice,
         now: float,
     ) -> list[Effect]:
-        request = opened.request
-        if opened.attempt_count == 0:
+        request = pending.request
+        if pending.attempt_count == 0:
             self._budget.deposit()
-        opened.attempt_count += 1
-        opened.phase = "running"
+        pending.attempt_count += 1
+        pending.phase = "running"
         attempt = state.Attempt(
-            attempt_id=f"{request.request_id}.{opened.attempt_count}",
+            attempt_id=f"{request.request_id}.{pending.attempt_count}",
             replica=choice.replica,
             started_at=now,
             last_frame_at=now,
         )
-        opened.current_attempt = attempt
+        pending.current_attempt = attempt
         self._by_attempt[attempt.attempt_id] = request.request_id
-        self._book.record_start(choice.replica.group, now)
+        self._health.record_start(choice.replica.group, now)
         self.trails.add(
             request.request_id,
             now,
@@ -375,128 +383,128 @@
         return [
             events.StartAttempt(
                 attempt_id=attempt.attempt_id,
-                attempt_number=opened.attempt_count,
+                attempt_number=pending.attempt_count,
                 request=request,
                 replica=choice.replica,
-                position=opened.position,
-                text="".join(opened.text_chunks),
+                position=pending.position,
+                text="".join(pending.text_chunks),
             )
         ]
 
-    # What comes back.
+    # Frames, responses and failures.
 
-    def _find(self, attempt_id: str) -> state.PendingRequest | None:
-        """Returns the request whose present attempt this is.
+    def _find_pending(self, attempt_id: str) -> state.PendingRequest | None:
+        """Returns the request whose current attempt has this id.
 
-        Whatever a former attempt still sends is dropped here: its request
-        has moved on, or is answered.
+        Late events of a previous attempt are dropped here: its request has
+        moved to another attempt, or has ended.
         """
-        opened = self._open.get(self._by_attempt.get(attempt_id, ""))
-        if opened and opened.current_attempt:
+        pending = self._pending.get(self._by_attempt.get(attempt_id, ""))
+        if pending and pending.current_attempt:
             return (
-                opened
-                if opened.current_attempt.attempt_id == attempt_id
+                pending
+                if pending.current_attempt.attempt_id == attempt_id
                 else None
             )
         return None
 
-    def _take_frame(
+    def _handle_frame(
         self, frame: events.FrameArrived, now: float
     ) -> list[Effect]:
-        opened = self._find(frame.attempt_id)
-        if opened is None:
+        pending = self._find_pending(frame.attempt_id)
+        if pending is None:
             return []
-        attempt = opened.current_attempt
+        attempt = pending.current_attempt
         assert attempt is not None
-        if frame.request_id != opened.request.request_id:
-            # A frame of another request on this connection: the server mixed
-            # them up. Nothing more from it may reach this caller.
-            return self._abandon_attempt(opened, "foreign_frame", now)
-        if frame.position > opened.position:
-            return self._abandon_attempt(opened, "frame_gap", now)
+        if frame.request_id != pending.request.request_id:
+            # The server sent a frame of another request on this connection.
+            # Nothing more of this attempt may reach the caller.
+            return self._abandon_attempt(pending, "foreign_frame", now)
+        if frame.position > pending.position:
+            return self._abandon_attempt(pending, "frame_gap", now)
         gap_s = now - attempt.last_frame_at
         attempt.last_frame_at = now
         end = frame.position + frame.tokens
         effects: list[Effect] = []
-        if frame.tokens and end > opened.position:
-            if frame.position < opened.position:
-                return self._abandon_attempt(opened, "frame_overlap", now)
-            if attempt.framed:
-                self._book.note_gap(
+        if frame.tokens and end > pending.position:
+            if frame.position < pending.position:
+                return self._abandon_attempt(pending, "frame_overlap", now)
+            if attempt.has_frames:
+                self._health.record_frame_gap(
                     attempt.replica.group, gap_s / frame.tokens, now
                 )
-            attempt.framed = True
-            opened.position = end
-            opened.text_chunks.append(frame.text)
+            attempt.has_frames = True
+            pending.position = end
+            pending.text_chunks.append(frame.text)
             effects.append(
-                events.EmitText(opened.request.request_id, frame.text)
+                events.EmitText(pending.request.request_id, frame.text)
             )
-        if frame.finish_reason and end == opened.position:
-            effects += self._finish_stream(opened, frame, now)
+        if frame.finish_reason and end == pending.position:
+            effects += self._finish_stream(pending, frame, now)
         return effects
 
     def _finish_stream(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         frame: events.FrameArrived,
         now: float,
     ) -> list[Effect]:
-        text = "".join(opened.text_chunks).encode()
-        answer = outcomes.keep_answer(200, outcomes.COMPLETION_TYPE, text)
+        text = "".join(pending.text_chunks).encode()
+        answer = outcomes.make_final_answer(200, outcomes.COMPLETION_TYPE, text)
         finish = events.FinishStream(
-            opened.request.request_id, frame.finish_reason, frame.usage
+            pending.request.request_id, frame.finish_reason, frame.usage
         )
-        return [finish, *self._close(opened, answer, now)]
+        return [finish, *self._complete(pending, answer, now)]
 
-    def _take_answer(
+    def _handle_response(
         self, event: events.AnswerArrived, now: float
     ) -> list[Effect]:
-        opened = self._find(event.attempt_id)
-        if opened is None:
+        pending = self._find_pending(event.attempt_id)
+        if pending is None:
             return []
-        if event.request_id != opened.request.request_id:
-            return self._abandon_attempt(opened, "foreign_answer", now)
-        answer = outcomes.keep_answer(
+        if event.request_id != pending.request.request_id:
+            return self._abandon_attempt(pending, "foreign_answer", now)
+        answer = outcomes.make_final_answer(
             event.status, event.content_type, event.body
         )
-        give = events.SendResponse(
+        response = events.SendResponse(
             event.request_id, event.status, event.content_type, event.body
         )
-        return [give, *self._close(opened, answer, now)]
+        return [response, *self._complete(pending, answer, now)]
 
-    def _close(
+    def _complete(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         answer: claim_messages.FinalAnswer,
         now: float,
     ) -> list[Effect]:
-        """Ends a request that has its whole answer."""
-        request = opened.request
-        attempt = opened.current_attempt
+        """Ends a request that has its complete response."""
+        request = pending.request
+        attempt = pending.current_attempt
         assert attempt is not None
         duration_s = now - attempt.started_at
         known_s = self._duration_s.get(request.service, duration_s)
         self._duration_s[request.service] = (
             known_s + (duration_s - known_s) * 0.1
         )
-        self._end_attempt(opened, now)
-        self._guard.record_complete_response(opened.request_hash, now)
-        self._book.get(attempt.replica.group).failures = 0
+        self._end_attempt(pending, now)
+        self._guard.record_complete_response(pending.request_hash, now)
+        self._health.get(attempt.replica.group).failures = 0
         self.trails.add(request.request_id, now, "ran")
-        del self._open[request.request_id]
+        del self._pending[request.request_id]
         effects: list[Effect] = []
-        if opened.claimant is not None:
-            effects += opened.claimant.finish(answer)
+        if pending.claimant is not None:
+            effects += pending.claimant.finish(answer)
         return effects + self._dispatch(request.service, now)
 
-    def _take_failure(
+    def _handle_failure(
         self, failure: events.AttemptFailed, now: float
     ) -> list[Effect]:
-        opened = self._find(failure.attempt_id)
-        if opened is None:
+        pending = self._find_pending(failure.attempt_id)
+        if pending is None:
             return []
         return self._fail_attempt(
-            opened,
+            pending,
             failure.verdict,
             failure.reason,
             failure.retry_after_s,
@@ -504,45 +512,45 @@
         )
 
     def _abandon_attempt(
-        self, opened: state.PendingRequest, reason: str, now: float
+        self, pending: state.PendingRequest, reason: str, now: float
     ) -> list[Effect]:
-        attempt = opened.current_attempt
+        attempt = pending.current_attempt
         assert attempt is not None
         cancel = events.CancelAttempt(
-            attempt.attempt_id, opened.request.request_id, attempt.replica
+            attempt.attempt_id, pending.request.request_id, attempt.replica
         )
         return [
             cancel,
             *self._fail_attempt(
-                opened, Verdict.MAY_HAVE_RUN, reason, None, now
+                pending, Verdict.MAY_HAVE_RUN, reason, None, now
             ),
         ]
 
     def _fail_attempt(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         verdict: verdict_module.Verdict,
         reason: str,
         retry_after_s: float | None,
         now: float,
     ) -> list[Effect]:
-        request = opened.request
-        attempt = opened.current_attempt
+        request = pending.request
+        attempt = pending.current_attempt
         assert attempt is not None
-        self._end_attempt(opened, now)
-        opened.failed_groups.add(attempt.replica.group)
+        self._end_attempt(pending, now)
+        pending.failed_groups.add(attempt.replica.group)
         if retry_after_s is not None:
-            self._book.note_pause(attempt.replica.group, retry_after_s, now)
+            self._health.record_pause(attempt.replica.group, retry_after_s, now)
         if reason != "busy":
-            self._book.record_failure(attempt.replica.group, now)
+            self._health.record_failure(attempt.replica.group, now)
         if verdict is Verdict.MAY_HAVE_RUN:
-            opened.fruitless += not attempt.framed
+            pending.unproductive_attempts += not attempt.has_frames
             group = attempt.replica.group
-            self._guard.record_lost_run(opened.request_hash, group, 0, now)
-        if opened.position:
+            self._guard.record_lost_run(pending.request_hash, group, 0, now)
+        if pending.position:
             verdict = Verdict.MAY_HAVE_RUN
-        opened.verdict = verdict_module.combine_verdicts(
-            opened.verdict, verdict
+        pending.verdict = verdict_module.combine_verdicts(
+            pending.verdict, verdict
         )
         self.trails.add(
             request.request_id,
@@ -550,97 +558,97 @@
             "attempt_failed",
             f"{attempt.attempt_id}: {reason}, {verdict.value}",
         )
-        problem = self._check_retry(opened, reason, retry_after_s, now)
+        problem = self._check_retry(pending, reason, retry_after_s, now)
         if problem is not None:
-            effects = self._refuse(opened, problem, now)
+            effects = self._refuse(pending, problem, now)
         else:
-            effects = self._enqueue(opened, now)
+            effects = self._enqueue(pending, now)
         return effects + self._dispatch(request.service, now)
 
     def _check_retry(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         reason: str,
         retry_after_s: float | None,
         now: float,
     ) -> model.Problem | None:
-        """Returns why a request is not tried again; None if it is."""
-        # A call that may run at most once is tried again only if nothing of
-        # it can have run; a doubled work order sends two crews.
-        if opened.non_idempotent and opened.verdict != Verdict.NOT_RUN:
+        """Returns why a request is not retried; None if it is."""
+        # A non-idempotent request is retried only if it cannot have run: a
+        # work order that runs twice sends two crews.
+        if pending.non_idempotent and pending.verdict != Verdict.NOT_RUN:
             return model.Problem(
                 502,
                 "outcome_unknown",
-                opened.verdict,
+                pending.verdict,
                 f"the backend server failed ({reason}) and may have run it;"
                 " ask again with the same key",
                 outcomes.MIN_RETRY_AFTER_S,
             )
         if (
-            not opened.position
-            and now - opened.arrived_at >= opened.request.deadline_s
+            not pending.position
+            and now - pending.arrived_at >= pending.request.deadline_s
         ):
             return model.Problem(
                 504,
                 "deadline_passed",
-                opened.verdict,
+                pending.verdict,
                 f"the deadline passed; the last failure was {reason}",
                 outcomes.MIN_RETRY_AFTER_S,
             )
-        # Whether its replicas have ended is known only after a second. By then
-        # one submission, tried for as long as the budget lasted, had ended six
-        # of nine.
-        if opened.fruitless >= crash_history.BLOCK_THRESHOLD:
-            return outcomes.describe_fruitless()
+        # The crash of a replica is confirmed only after a second. If retries
+        # were limited by the budget alone, one submission could crash six of
+        # nine replicas within that second.
+        if pending.unproductive_attempts >= crash_history.BLOCK_THRESHOLD:
+            return outcomes.describe_replicas_failed()
         if not self._budget.try_withdraw():
             return model.Problem(
                 503,
                 "retry_budget_spent",
-                opened.verdict,
+                pending.verdict,
                 f"the backend server failed ({reason}) and too many requests"
-                " are being tried again",
+                " are being retried",
                 outcomes.clamp_retry(
                     retry_after_s or 2 * outcomes.MIN_RETRY_AFTER_S
                 ),
             )
         return None
 
-    def _end_attempt(self, opened: state.PendingRequest, now: float) -> None:
-        attempt = opened.current_attempt
+    def _end_attempt(self, pending: state.PendingRequest, now: float) -> None:
+        attempt = pending.current_attempt
         assert attempt is not None
         self._by_attempt.pop(attempt.attempt_id, None)
-        self._book.record_end(attempt.replica.group, now)
-        opened.current_attempt = None
+        self._health.record_end(attempt.replica.group, now)
+        pending.current_attempt = None
 
-    # Time.
+    # Timeouts.
 
-    def _check_running(
-        self, opened: state.PendingRequest, now: float
+    def _check_attempt(
+        self, pending: state.PendingRequest, now: float
     ) -> list[Effect]:
-        attempt = opened.current_attempt
+        attempt = pending.current_attempt
         assert attempt is not None
-        overdue = now - opened.arrived_at >= opened.request.deadline_s
-        if overdue and not opened.position:
-            return self._give_up_running(opened, now)
+        overdue = now - pending.arrived_at >= pending.request.deadline_s
+        if overdue and not pending.position:
+            return self._cancel_overdue(pending, now)
         if not attempt.replica.keepalive_s:
             return []
-        silent_s = now - attempt.last_frame_at
-        if silent_s <= SILENT_KEEPALIVES * attempt.replica.keepalive_s:
+        idle_s = now - attempt.last_frame_at
+        if idle_s <= MAX_MISSED_KEEPALIVES * attempt.replica.keepalive_s:
             return []
-        if attempt.attached:
-            return self._abandon_attempt(opened, "silent", now)
-        return self._attach(opened, attempt, now)
+        if attempt.is_attached:
+            return self._abandon_attempt(pending, "silent", now)
+        return self._attach(pending, attempt, now)
 
     def _attach(
-        self, opened: state.PendingRequest, attempt: state.Attempt, now: float
+        self, pending: state.PendingRequest, attempt: state.Attempt, now: float
     ) -> list[Effect]:
-        """Joins a silent stream again over a new connection.
+        """Attaches to a stream without frames over a new connection.
 
-        Something between the two ends may have lost track of the connection
-        while the server works on. Only if a new one is silent as well is the
-        server taken for dead.
+        A network component may have lost the state of the connection while
+        the server continues. Only if the new connection times out as well is
+        the server treated as failed.
         """
-        request_id = opened.request.request_id
+        request_id = pending.request.request_id
         close = events.CancelAttempt(
             attempt.attempt_id,
             request_id,
@@ -648,9 +656,9 @@
             cancel_on_server=False,
         )
         self._by_attempt.pop(attempt.attempt_id, None)
-        opened.attempt_count += 1
-        attempt.attempt_id = f"{request_id}.{opened.attempt_count}"
-        attempt.attached = True
+        pending.attempt_count += 1
+        attempt.attempt_id = f"{request_id}.{pending.attempt_count}"
+        attempt.is_attached = True
         attempt.last_frame_at = now
         self._by_attempt[attempt.attempt_id] = request_id
         self.trails.add(request_id, now, "attach", attempt.attempt_id)
@@ -658,85 +666,85 @@
             close,
             events.StartAttempt(
                 attempt_id=attempt.attempt_id,
-                attempt_number=opened.attempt_count,
-                request=opened.request,
+                attempt_number=pending.attempt_count,
+                request=pending.request,
                 replica=attempt.replica,
-                position=opened.position,
-                text="".join(opened.text_chunks),
+                position=pending.position,
+                text="".join(pending.text_chunks),
                 attach=True,
             ),
         ]
 
-    def _give_up_running(
-        self, opened: state.PendingRequest, now: float
+    def _cancel_overdue(
+        self, pending: state.PendingRequest, now: float
     ) -> list[Effect]:
-        attempt = opened.current_attempt
+        attempt = pending.current_attempt
         assert attempt is not None
         cancel = events.CancelAttempt(
-            attempt.attempt_id, opened.request.request_id, attempt.replica
+            attempt.attempt_id, pending.request.request_id, attempt.replica
         )
-        self._end_attempt(opened, now)
-        opened.verdict = Verdict.MAY_HAVE_RUN
+        self._end_attempt(pending, now)
+        pending.verdict = Verdict.MAY_HAVE_RUN
         problem = model.Problem(
             504,
             "deadline_passed",
-            opened.verdict,
-            "the answer did not start before the deadline",
+            pending.verdict,
+            "the response did not start before the deadline",
             outcomes.MIN_RETRY_AFTER_S,
         )
         return [
             cancel,
-            *self._refuse(opened, problem, now),
-            *self._dispatch(opened.request.service, now),
+            *self._refuse(pending, problem, now),
+            *self._dispatch(pending.request.service, now),
         ]
 
     def _refuse_late(self, request_id: str, now: float) -> list[Effect]:
-        opened = self._open[request_id]
+        pending = self._pending[request_id]
         problem = model.Problem(
             503,
             "deadline_passed",
-            opened.verdict,
+            pending.verdict,
             "no replica was free before the deadline",
-            self._suggest_return(opened.request),
+            self._estimate_retry_after(pending.request),
         )
-        return self._refuse(opened, problem, now)
+        return self._refuse(pending, problem, now)
 
-    def _suggest_return(self, request: model.Request) -> float:
-        waiting = self.queues[request.service]
-        return outcomes.clamp_retry(self._estimate_wait(request, waiting))
+    def _estimate_retry_after(self, request: model.Request) -> float:
+        service_queue = self.queues[request.service]
+        return outcomes.clamp_retry(self._estimate_wait(request, service_queue))
 
-    # Ends.
+    # Disconnects and refusals.
 
-    def _leave(self, request_id: str, now: float) -> list[Effect]:
-        opened = self._open.get(request_id)
-        if opened is None:
+    def _handle_disconnect(self, request_id: str, now: float) -> list[Effect]:
+        pending = self._pending.get(request_id)
+        if pending is None:
             return []
-        if opened.non_idempotent and opened.current_attempt is not None:
-            # To stop it could leave the work half done; it is finished, and
-            # a resend gets the answer from the claim.
+        if pending.non_idempotent and pending.current_attempt is not None:
+            # Cancelling it could leave its work incomplete. It runs to its
+            # end, and a resend gets the response from the claim.
             return []
         self.trails.add(request_id, now, "caller_left")
         effects: list[Effect] = []
-        attempt = opened.current_attempt
+        attempt = pending.current_attempt
         if attempt is not None:
             effects.append(
                 events.CancelAttempt(
                     attempt.attempt_id, request_id, attempt.replica
                 )
             )
-            self._end_attempt(opened, now)
+            self._end_attempt(pending, now)
         else:
-            for waiting in self.queues.values():
-                waiting.remove(request_id)
-            effects += self._settle_claim(opened)
+            for service_queue in self.queues.values():
+                service_queue.remove(request_id)
+            effects += self._settle_claim(pending)
         self._claiming.discard(request_id)
-        del self._open[request_id]
-        return effects + self._dispatch(opened.request.service, now)
+        del self._pending[request_id]
+        return effects + self._dispatch(pending.request.service, now)
 
     def _refuse(
-        self, opened: state.PendingRequest, problem: model.Problem, now: float
+        self, pending: state.PendingRequest, problem: model.Problem, now: float
     ) -> list[Effect]:
-        request_id = opened.request.request_id
+        request_id = pending.request.request_id
         self.trails.add(
             request_id,
             now,
@@ -744,22 +752,22 @@
             f"{problem.code}, {problem.verdict.value}",
         )
         self._claiming.discard(request_id)
-        del self._open[request_id]
+        del self._pending[request_id]
         return [
             events.Refuse(request_id, problem),
-            *self._settle_claim(opened),
+            *self._settle_claim(pending),
         ]
 
-    def _settle_claim(self, opened: state.PendingRequest) -> list[Effect]:
-        """Gives a claim back if nothing ran, or marks it as unknown."""
-        if opened.claimant is None:
+    def _settle_claim(self, pending: state.PendingRequest) -> list[Effect]:
+        """Releases a claim if nothing ran; else marks its outcome unknown."""
+        if pending.claimant is None:
             return []
-        if opened.verdict == Verdict.NOT_RUN:
-            return [*opened.claimant.release()]
-        unknown = claim_messages.FinalAnswer(verdict=opened.verdict.value)
-        return [*opened.claimant.finish(unknown)]
+        if pending.verdict == Verdict.NOT_RUN:
+            return [*pending.claimant.release()]
+        unknown = claim_messages.FinalAnswer(verdict=pending.verdict.value)
+        return [*pending.claimant.finish(unknown)]
 
 
-def _ends_before(opened: state.PendingRequest, at: float) -> bool:
-    """Says whether a request that waits is given up before a time."""
-    return opened.arrived_at + opened.request.deadline_s <= at
+def _ends_before(pending: state.PendingRequest, at: float) -> bool:
+    """Returns whether the deadline of a request passes by a time."""
+    return pending.arrived_at + pending.request.deadline_s <= at
--- a/src/hickorylead/requests/events.py
+++ b/src/hickorylead/requests/events.py
@@ -16,7 +16,7 @@
     """Event: a caller submitted a request.
 
     Attributes:
-        request: The request, checked.
+        request: The validated request.
         wall_time: Wall-clock time, in Unix seconds.
     """
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class CallerDisconnected:
-    """Event: the caller's connection is closed."""
+    """Event: the caller's connection was closed."""
 
     request_id: str
 
@@ -36,13 +36,14 @@
     """Event: a server sent a frame of a stream.
 
     Attributes:
-        attempt_id: Attempt on whose connection it came.
+        attempt_id: Attempt on whose connection it arrived.
         request_id: Request that the frame names.
-        position: Tokens of the answer before this frame.
-        tokens: Tokens in this frame.
-        text: Their text; empty in a keepalive.
-        finish_reason: Why the answer ends here; empty if it goes on.
-        usage: Token counts, with the last frame.
+        position: Number of response tokens before this frame.
+        tokens: Number of tokens in this frame.
+        text: Text of the tokens; empty in a keepalive.
+        finish_reason: Why the response ends with this frame; empty if it
+            continues.
+        usage: Token counts; set in the last frame.
     """
 
     attempt_id: str
@@ -56,7 +57,7 @@
 
 @attrs.frozen
 class AnswerArrived:
-    """Event: a plain service gave its whole answer."""
+    """Event: a plain service returned its complete response."""
 
     attempt_id: str
     request_id: str
@@ -67,13 +68,13 @@
 
 @attrs.frozen
 class AttemptFailed:
-    """Event: an attempt ended without an answer.
+    """Event: an attempt ended without a complete response.
 
     Attributes:
         attempt_id: The attempt.
-        verdict: NOT_RUN only if no byte left, or the server said so.
+        verdict: NOT_RUN only if no byte was sent, or the server reported so.
         reason: Stable code.
-        retry_after_s: What the server asked for, if it did.
+        retry_after_s: The pause that the server asked for, if any.
     """
 
     attempt_id: str
@@ -96,14 +97,14 @@
     """Effect: send a request to a replica.
 
     Attributes:
-        attempt_id: Names the attempt in the events that follow.
-        attempt_number: Counts the attempts of the request, from 1.
+        attempt_id: Identifies the attempt in later events.
+        attempt_number: Number of this attempt of the request, from 1.
         request: The request.
         replica: Where to send it.
-        position: Tokens that the caller has already.
-        text: The text of those tokens.
-        attach: Whether to join the request where it runs already, over a new
-            connection, instead of running it.
+        position: Number of tokens that the caller has received already.
+        text: Text of those tokens.
+        attach: Whether to attach to the request that is already running on
+            the replica, over a new connection, instead of running it.
     """
 
     attempt_id: str
@@ -117,7 +118,14 @@
 
 @attrs.frozen
 class CancelAttempt:
-    """Effect: close an attempt's connection and tell the server to stop."""
+    """Effect: close an attempt's connection, and cancel it on the server.
+
+    Attributes:
+        attempt_id: The attempt.
+        request_id: The request.
+        replica: The replica that runs it.
+        cancel_on_server: Whether to cancel the request on the server too.
+    """
 
     attempt_id: str
     request_id: str
@@ -127,7 +135,7 @@
 
 @attrs.frozen
 class EmitText:
-    """Effect: give the caller the next piece of the answer."""
+    """Effect: send the caller the next chunk of the response."""
 
     request_id: str
     text: str
@@ -135,7 +143,7 @@
 
 @attrs.frozen
 class FinishStream:
-    """Effect: the answer of a model is complete."""
+    """Effect: end the response of a model, which is complete."""
 
     request_id: str
     finish_reason: str
@@ -144,14 +152,14 @@
 
 @attrs.frozen
 class SendResponse:
-    """Effect: give the caller the whole answer of a plain service.
+    """Effect: send the caller the complete response of a plain service.
 
     Attributes:
         request_id: The request.
         status: HTTP status of the service.
-        content_type: Of the body.
+        content_type: Content type of the body.
         body: The body.
-        replayed: Whether it is the answer to an earlier submission.
+        replayed: Whether it is the response to an earlier submission.
     """
 
     request_id: str
@@ -163,7 +171,7 @@
 
 @attrs.frozen
 class Refuse:
-    """Effect: the request ends with a problem, at once."""
+    """Effect: end the request with a problem."""
 
     request_id: str
     problem: model.Problem
--- a/src/hickorylead/requests/history.py
+++ b/src/hickorylead/requests/history.py
@@ -1,4 +1,4 @@
-"""What happened to each of the last requests, for `explain`."""
+"""Histories of the most recent requests, for `explain`."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from hickorylead.routing import policy
 
-MAX_TRAILS = 2000
+MAX_HISTORIES = 2000
 
 
 @attrs.frozen
 class Step:
-    """One thing that happened to a request.
+    """One step in the history of a request.
 
     Attributes:
-        elapsed_s: Seconds since the request came.
+        elapsed_s: Seconds since the request arrived.
         code: Stable code.
-        detail: For people.
-        candidates: Replicas that were weighed, if one was chosen here.
+        detail: Human-readable explanation.
+        candidates: Replicas that were scored, if this step chose one.
     """
 
     elapsed_s: float
     code: str
     detail: str = ""
-    candidates: tuple[policy.Weighed, ...] = ()
+    candidates: tuple[policy.Candidate, ...] = ()
 
 
 @attrs.frozen
-class Trail:
-    """All that happened to one request."""
+class RequestHistory:
+    """The history of one request."""
 
     request_id: str
     service: str
@@ -39,29 +39,29 @@
 
 
 @attrs.define
-class _Open:
+class _OpenHistory:
     service: str
     workspace: str
-    since: float
+    arrived_at: float
     steps: list[Step] = attrs.field(factory=list)
 
 
 class HistoryStore:
-    """Trails of the last requests of one entry."""
+    """Histories of the most recent requests of one entry."""
 
     def __init__(self) -> None:
-        """Makes an empty book."""
-        self._open: collections.OrderedDict[str, _Open] = (
+        """Makes an empty store."""
+        self._histories: collections.OrderedDict[str, _OpenHistory] = (
             collections.OrderedDict()
         )
 
     def start(
         self, request_id: str, service: str, workspace: str, now: float
     ) -> None:
-        """Begins the trail of a request; the oldest one may be dropped."""
-        self._open[request_id] = _Open(service, workspace, now)
-        if len(self._open) > MAX_TRAILS:
-            self._open.popitem(last=False)
+        """Starts the history of a request; evicts the oldest if full."""
+        self._histories[request_id] = _OpenHistory(service, workspace, now)
+        if len(self._histories) > MAX_HISTORIES:
+            self._histories.popitem(last=False)
 
     def add(
         self,
@@ -69,19 +69,19 @@
         now: float,
         code: str,
         detail: str = "",
-        candidates: tuple[policy.Weighed, ...] = (),
+        candidates: tuple[policy.Candidate, ...] = (),
     ) -> None:
-        """Adds a step."""
-        trail = self._open.get(request_id)
-        if trail:
-            after_s = round(now - trail.since, 6)
-            trail.steps.append(Step(after_s, code, detail, candidates))
-
-    def get(self, request_id: str) -> Trail | None:
-        """Returns the trail of a request, if it is still kept."""
-        trail = self._open.get(request_id)
-        if trail is None:
+        """Adds a step to the history of a request."""
+        history = self._histories.get(request_id)
+        if history:
+            after_s = round(now - history.arrived_at, 6)
+            history.steps.append(Step(after_s, code, detail, candidates))
+
+    def get(self, request_id: str) -> RequestHistory | None:
+        """Returns the history of a request, or None if not kept."""
+        history = self._histories.get(request_id)
+        if history is None:
             return None
-        return Trail(
-            request_id, trail.service, trail.workspace, tuple(trail.steps)
+        return RequestHistory(
+            request_id, history.service, history.workspace, tuple(history.steps)
         )
--- a/src/hickorylead/requests/model.py
+++ b/src/hickorylead/requests/model.py
@@ -1,4 +1,4 @@
-"""A caller's request, and the problems it can end with."""
+"""Requests of callers, and the problems that they can end with."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 @attrs.frozen
 class Request:
-    """One submission of a request, checked.
+    """One validated submission of a request.
 
     Attributes:
-        request_id: Unique in the deployment; names zone and entry VM first.
-        workspace: Who asks, by the bearer token.
-        service: Service asked.
-        urgency: Of RFC 9218: 0 is the most urgent, 7 the least.
-        deadline_s: Seconds from arrival within which the answer must start.
-        streamed: Whether the caller takes the answer as it is made.
+        request_id: Unique in the deployment; starts with the zone and the VM
+            of the entry.
+        workspace: Workspace of the caller, from the bearer token.
+        service: Requested service.
+        urgency: Urgency of RFC 9218; 0 is the most urgent, 7 the least.
+        deadline_s: Seconds from arrival within which the response must start.
+        streamed: Whether the caller receives the response as a stream.
         body: Request body; JSON for model services.
-        prompt_tokens: Rough size of the prompt.
-        max_tokens: Most tokens the answer may have.
-        prefix_hashes: Hashes of growing prefixes of the prompt, shortest first.
+        prompt_tokens: Estimated size of the prompt.
+        max_tokens: Maximum number of tokens of the response.
+        prefix_hashes: Hashes of prefixes of the prompt, shortest first.
         method: HTTP method, for plain services.
         path: Path below the service, with query, for plain services.
-        content_type: Of the body.
-        idempotency_key: Idempotency key; empty if none was given.
-        key_created_at: Time in the key, in Unix seconds.
+        content_type: Content type of the body.
+        idempotency_key: Idempotency key; empty if none was sent.
+        key_created_at: Creation time in the key, in Unix seconds.
         traceparent: W3C trace context to pass on; empty if none.
     """
 
@@ -53,14 +54,15 @@
 
 @attrs.frozen
 class Problem:
-    """Why a request has no answer, as problem+json (RFC 9457) carries it.
+    """Why a request failed, with the fields of problem+json (RFC 9457).
 
     Attributes:
         status: HTTP status.
-        code: Stable code for programs.
+        code: Stable machine-readable code.
         verdict: Whether this submission may have run.
-        detail: A plain sentence for people.
-        retry_after_s: When to come back; None if coming back is of no use.
+        detail: Human-readable explanation.
+        retry_after_s: Seconds to wait before a retry; None if a retry is
+            useless.
     """
 
     status: int
@@ -72,7 +74,7 @@
 
 @attrs.frozen
 class Usage:
-    """Token counts of a finished answer."""
+    """Token counts of a complete response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
--- a/src/hickorylead/requests/outcomes.py
+++ b/src/hickorylead/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests end: problems for callers, answers kept for resends."""
+"""How requests end: problems for callers, and answers kept for resends."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
 NO_REPLICA_RETRY_S = 5.0
-# Marks the kept text of a model's answer, which is rendered anew.
+# Marks a kept answer that holds a model's text; the response is rendered from
+# it again for each resend.
 COMPLETION_TYPE = "text/x-completion"
 
 
 def describe_claim(
     result: claimant.ClaimResult, answer: claim_messages.FinalAnswer | None
 ) -> model.Problem:
-    """Returns the problem of a submission that did not get its claim."""
+    """Returns the problem of a submission whose claim was not granted."""
     match result:
         case "finished":
             verdict = Verdict(answer.verdict if answer else "may_have_run")
@@ -35,7 +36,7 @@
                 "already_submitted",
                 verdict,
                 "an earlier submission of this key has ended; its answer is"
-                " not kept",
+                " not stored",
             )
         case "taken":
             return model.Problem(
@@ -57,21 +58,21 @@
                 422,
                 "key_too_old",
                 Verdict.MAY_HAVE_RUN,
-                "this key is older than what is remembered: an earlier"
+                "this key is older than the stored claims: an earlier"
                 " submission of it may have run",
             )
     return model.Problem(
         503,
         "claim_unavailable",
         Verdict.NOT_RUN,
-        "no majority of availability zones could be asked whether this key"
-        " was used; this submission was not run",
+        "no majority of availability zones could be reached to check whether"
+        " this key was used; this submission was not run",
         NO_REPLICA_RETRY_S,
     )
 
 
 def describe_overload(wait_s: float) -> model.Problem:
-    """Returns the problem of a request that would wait for too long."""
+    """Returns the problem of a request whose wait would be too long."""
     return model.Problem(
         503,
         "overloaded",
@@ -84,18 +85,18 @@
 def describe_block(
     verdict: verdict_module.Verdict, left_s: float
 ) -> model.Problem:
-    """Returns the problem of a request that ended the servers which ran it.
+    """Returns the problem of a request that crashed the servers that ran it.
 
     Args:
         verdict: Whether this submission may have run.
-        left_s: How much longer it is blocked, in seconds.
+        left_s: Remaining time of its block, in seconds.
     """
     ran = verdict is not Verdict.NOT_RUN
     return model.Problem(
         502 if ran else 503,
         "ends_servers",
         verdict,
-        "backend servers ended while they ran this request; it is run by none"
+        "backend servers ended while they ran this request; no server runs it"
         " until some time has passed",
         None if ran else float(math.ceil(left_s)),
     )
@@ -104,43 +105,46 @@
 def describe_pause(
     verdict: verdict_module.Verdict, pause_s: float
 ) -> model.Problem:
-    """Returns the problem of a request whose replicas all want no work.
+    """Returns the problem of a request whose replicas all asked for a pause.
 
     Args:
         verdict: Whether this submission may have run.
-        pause_s: When the first of them takes work again, in seconds.
+        pause_s: Seconds until the first of them accepts requests again.
     """
     return model.Problem(
         503,
         "paused",
         verdict,
-        f"all replicas want no work for {pause_s:.1f} s",
+        f"all replicas asked for no requests for {pause_s:.1f} s",
         clamp_retry(pause_s),
     )
 
 
-def describe_fruitless() -> model.Problem:
-    """Returns the problem of a request that several replicas gave nothing."""
+def describe_replicas_failed() -> model.Problem:
+    """Returns the problem of a request on which several replicas failed."""
     return model.Problem(
         502,
         "replicas_failed",
         Verdict.MAY_HAVE_RUN,
         f"{crash_history.BLOCK_THRESHOLD} replicas failed while they ran it,"
-        " and gave nothing",
+        " and returned nothing",
     )
 
 
 def clamp_retry(wait_s: float) -> float:
-    """Returns a waiting time as whole seconds within bounds."""
+    """Returns a retry time in whole seconds, within bounds."""
     return min(
         MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, float(math.ceil(wait_s)))
     )
 
 
-def keep_answer(
+def make_final_answer(
     status: int, content_type: str, body: bytes
 ) -> claim_messages.FinalAnswer:
-    """Returns what holders keep of an answer: all of it, if it is short."""
+    """Returns the answer for claim holders to keep.
+
+    Its body is omitted, and it is marked incomplete, if it is too long.
+    """
     complete = len(body) <= claim_messages.MAX_KEPT_BODY
     return claim_messages.FinalAnswer(
         verdict=Verdict.RAN.value,
@@ -152,7 +156,7 @@
 
 
 def hash_request(request: model.Request) -> str:
-    """Returns a hash that tells two requests under one key apart."""
+    """Returns a hash that distinguishes requests under the same key."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.path, request.content_type):
         digest.update(part.encode() + b"\0")
--- a/src/hickorylead/requests/state.py
+++ b/src/hickorylead/requests/state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of a request that has no final answer yet."""
+"""State of a request that has no final response yet."""
 
 from __future__ import annotations
 
@@ -18,35 +18,45 @@
 
 @attrs.define
 class Attempt:
-    """One attempt of a request on one replica."""
+    """One attempt to run a request on a replica.
+
+    Attributes:
+        attempt_id: The id used in events and effects; new for each connection.
+        replica: The replica.
+        started_at: When the attempt started.
+        last_frame_at: When the last frame arrived.
+        is_attached: Whether the stream was joined over a second connection.
+        has_frames: Whether any frame with tokens has arrived.
+    """
 
     attempt_id: str
     replica: messages.Replica
     started_at: float
     last_frame_at: float
-    attached: bool = False
-    framed: bool = False
+    is_attached: bool = False
+    has_frames: bool = False
 
 
 @attrs.define
 class PendingRequest:
-    """A request that has no final answer yet.
+    """A request that has no final response yet.
 
     Attributes:
         request: The request.
-        arrived_at: When it came.
+        arrived_at: When it arrived.
         non_idempotent: Whether it may run at most once.
-        phase: What it waits for.
+        phase: What it is waiting for.
         claimant: Its claim, if it needs one.
-        current_attempt: The attempt that runs now.
-        attempt_count: How many there were.
+        current_attempt: The running attempt, if any.
+        attempt_count: Number of attempts and attached connections so far.
         failed_groups: Groups on which it failed.
-        verdict: The worst of the attempts that ended.
-        position: Tokens that the caller has.
-        text_chunks: Their text.
-        request_hash: Hash of what is asked for, the same when it is asked
-            again.
-        fruitless: Attempts that may have run and gave nothing new.
+        verdict: The combined verdict of the attempts that ended.
+        position: Number of tokens sent to the caller.
+        text_chunks: Text of those tokens.
+        request_hash: Hash of the request; equal for each submission of the
+            same request.
+        unproductive_attempts: Attempts that may have run but returned no
+            tokens.
     """
 
     request: model.Request
@@ -61,4 +71,4 @@
     position: int = 0
     text_chunks: list[str] = attrs.field(factory=list)
     request_hash: int = 0
-    fruitless: int = 0
+    unproductive_attempts: int = 0
--- a/src/hickorylead/routing/__init__.py
+++ b/src/hickorylead/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The choice of a replica for a request."""
+"""Replica tables, and the choice of a replica for each request."""
--- a/src/hickorylead/routing/health.py
+++ b/src/hickorylead/routing/health.py
@@ -1,4 +1,4 @@
-"""What one entry has seen of each replica by its own requests."""
+"""Replica health, as observed from the requests of one entry."""
 
 from __future__ import annotations
 
@@ -14,30 +14,36 @@
 EJECT_MAX_S = 30.0
 SMOOTHING = 0.2
 MAX_SLOWNESS = 8.0
-# What was measured counts half after this time. A straggler gets no work
-# while it seems slow, so nothing would ever show that it has recovered; as
-# the old measure fades it is tried again, and a new one renews it.
+# The effect of a measured slowness halves in this time. A straggler gets no
+# requests while it is rated slow, so no new measurement could show that it has
+# recovered. As the old measurement decays, the replica gets requests again,
+# and these provide a new one.
 SLOWNESS_HALF_LIFE_S = 10.0
 
 
 @attrs.define
 class Health:
-    """One replica as this entry sees it.
+    """Health of one replica, as observed by this entry.
 
     Attributes:
-        inflight: Requests of this entry that run there.
-        gap_s: Smoothed time between two frames; 0 before the first.
-        gap_at: When it was last measured.
-        failures: Failures in a row.
-        ejected_until: No new work before this time, after failures.
-        paused_until: No new work before this time, as the server asked for.
-        send_times: When each request since the last load report was sent.
-        end_times: When each request since the last load report ended.
+        inflight: Requests of this entry in flight on the replica.
+        gap_s: Smoothed time per token between frames; 0 before the first
+            measurement.
+        gap_measured_at: When `gap_s` was last updated.
+        failures: Consecutive failures.
+        ejected_until: No new requests before this time, because of
+            failures.
+        paused_until: No new requests before this time, because the server
+            asked for a pause.
+        send_times: Send times of the requests sent since the last load
+            report.
+        end_times: End times of the requests ended since the last load
+            report.
     """
 
     inflight: int = 0
     gap_s: float = 0.0
-    gap_at: float = -1e9
+    gap_measured_at: float = -1e9
     failures: int = 0
     ejected_until: float = -1e9
     paused_until: float = -1e9
@@ -49,33 +55,33 @@
     """Health of all replicas, by group."""
 
     def __init__(self) -> None:
-        """Makes an empty book."""
+        """Makes a tracker without groups."""
         self._by_group: dict[str, Health] = {}
         self._median_gap_s = 0.0
 
     def get(self, group: str) -> Health:
-        """Returns the health of a group; a new one is well."""
+        """Returns the health of a group; an unknown group is healthy."""
         health = self._by_group.get(group)
         if health is None:
             health = self._by_group[group] = Health()
         return health
 
     def record_start(self, group: str, now: float) -> None:
-        """Counts a request sent to a group."""
+        """Records that a request was sent to a group."""
         health = self.get(group)
         health.inflight += 1
         health.send_times.append(now)
 
     def record_end(self, group: str, now: float) -> None:
-        """Counts a request that ended there, well or not."""
+        """Records that a request to a group ended, successfully or not."""
         health = self.get(group)
         health.inflight = max(0, health.inflight - 1)
         health.end_times.append(now)
 
-    def note_gap(self, group: str, gap_s: float, now: float) -> None:
-        """Takes the time between two frames of one stream."""
+    def record_frame_gap(self, group: str, gap_s: float, now: float) -> None:
+        """Records the time per token between two frames of one stream."""
         health = self.get(group)
-        health.gap_at = now
+        health.gap_measured_at = now
         if health.gap_s == 0.0:
             health.gap_s = gap_s
         else:
@@ -83,19 +89,19 @@
         health.failures = 0
 
     def record_failure(self, group: str, now: float) -> None:
-        """Takes a failure: no new work for a while, longer each time."""
+        """Records a failure and ejects the group, for longer each time."""
         health = self.get(group)
         health.failures += 1
-        pause_s = min(EJECT_MAX_S, EJECT_MIN_S * 2 ** (health.failures - 1))
-        health.ejected_until = now + pause_s
+        eject_s = min(EJECT_MAX_S, EJECT_MIN_S * 2 ** (health.failures - 1))
+        health.ejected_until = now + eject_s
 
-    def note_pause(self, group: str, pause_s: float, now: float) -> None:
-        """Takes that a server wants no work from here for some time."""
+    def record_pause(self, group: str, pause_s: float, now: float) -> None:
+        """Records that a server asked for no new requests for some time."""
         health = self.get(group)
         health.paused_until = max(health.paused_until, now + pause_s)
 
     def refresh(self, groups: Iterable[str]) -> None:
-        """Drops groups that are gone, and finds the usual frame gap."""
+        """Removes groups that no longer exist; updates the median gap."""
         known = set(groups)
         for group in list(self._by_group):
             if group not in known and not self._by_group[group].inflight:
@@ -104,7 +110,7 @@
         self._median_gap_s = statistics.median(gaps) if gaps else 0.0
 
     def get_slowness(self, group: str, now: float) -> float:
-        """Returns how many times slower than usual a group is, at least 1."""
+        """Returns how many times slower than the median a group is; >= 1."""
         health = self.get(group)
         if not self._median_gap_s or not health.gap_s:
             return 1.0
@@ -112,7 +118,7 @@
         excess = min(MAX_SLOWNESS, max(1.0, ratio)) - 1.0
         if not excess:
             return 1.0
-        age_s = now - health.gap_at
+        age_s = now - health.gap_measured_at
         return 1.0 + excess * 0.5 ** (age_s / SLOWNESS_HALF_LIFE_S)
 
     def estimate_load(
@@ -120,8 +126,8 @@
     ) -> int:
         """Returns the load of a group, corrected for the report's lag.
 
-        A report says nothing of what this entry sent after it was made. What
-        is older than the report is in it, and is forgotten here.
+        A report does not include the requests that this entry sent or ended
+        after it was made. Older times are already included and are pruned.
         """
         health = self.get(group)
         health.send_times = [at for at in health.send_times if at > reported_at]
--- a/src/hickorylead/routing/messages.py
+++ b/src/hickorylead/routing/messages.py
@@ -1,4 +1,4 @@
-"""The replica table, and the messages that carry it."""
+"""Entries of the replica table, and the messages that distribute it."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @attrs.frozen
 class Replica:
-    """A whole replica that takes requests.
+    """A ready replica that accepts requests.
 
     Attributes:
-        group: Its group; for plain services the VM.
-        service: Service it serves.
+        group: Name of its group; for plain services, the VM.
+        service: Service that it runs.
         zone: Availability zone.
         generation: Generation of the member list.
-        vm: VM that takes the requests.
+        vm: VM that receives the requests.
         address: `ip:port` of that VM.
-        slots: Requests it runs at the same time.
-        keepalive_s: Longest pause between two frames of a live stream.
+        slots: Requests that it runs concurrently.
+        keepalive_s: Longest time between two frames of a live stream.
     """
 
     group: str
@@ -39,19 +39,20 @@
 class TableUpdate:
     """Changes of the replicas of one zone, from the holder of its lease.
 
-    An update without changes is a sign of life and carries loads only.
+    An update without changes is a heartbeat that carries loads only.
 
     Attributes:
         zone: The zone.
-        fence: Fencing number of the holder; a higher one wins.
-        sequence: Counts the changes under this fencing number.
-        full: Whether `added` is the whole table.
+        fence: Fencing number of the lease holder; a higher one supersedes a
+            lower one.
+        sequence: Number of changes so far under this fencing number.
+        full: Whether `added` is the full table.
         added: Replicas that are new or changed.
-        removed: Groups that serve no more.
+        removed: Groups that no longer serve.
         loads: One byte for each replica of the table after this update, in
-            the order of their groups: how full it is, in units of
-            1/LOAD_STEPS of its slots. A byte a replica is what lets every
-            node hear the load of 600 replicas within its 2 KB/s.
+            the order of their groups: its load in units of 1/LOAD_STEPS of
+            its slots. One byte per replica keeps the loads of 600 replicas
+            within the 2 KB/s that each node may receive.
     """
 
     zone: str
@@ -65,7 +66,10 @@
 
 @attrs.frozen
 class TableRequest:
-    """Asks the control processes for the whole table; an update was lost."""
+    """Requests the full table from the control processes.
+
+    Sent when an update was lost.
+    """
 
     node: str
     zone: str
@@ -73,11 +77,11 @@
 
 @attrs.frozen
 class Withdrawal:
-    """A replica takes no new work from now on: one of its VMs leaves.
+    """A replica accepts no new requests: one of its VMs is leaving.
 
     Attributes:
         zone: Zone of the replica.
-        group: The replica.
+        group: Group of the replica.
         generation: Generation of its member list.
     """
 
--- a/src/hickorylead/routing/policy.py
+++ b/src/hickorylead/routing/policy.py
@@ -1,9 +1,10 @@
-"""The choice of a replica, under late and partial knowledge.
+"""The choice of a replica, from load reports that are late and partial.
 
-Two replicas are drawn for a request and the better one is taken. Where the
-prompt has a known prefix, the four replicas that rendezvous hashing gives for
-it are weighed as well, with a gain, so that requests with one prefix meet its
-cache without any index of what is cached where.
+Two replicas are drawn at random for a request and the one with the lower cost
+is chosen. If the prompt has a known prefix, the four replicas to which
+rendezvous hashing maps it are scored as well, with a discount. So requests
+with the same prefix reach replicas that have it cached, without an index of
+the caches.
 """
 
 from __future__ import annotations
@@ -21,28 +22,29 @@
     from hickorylead.requests import model
     from hickorylead.routing import health, messages, table
 
-# A report holds for the time a load takes to change by much; one this much
-# older than now is taken as made this long ago.
+# A report is assumed to describe the load this long before it arrived. A load
+# takes about as long to change much.
 REPORT_LAG_S = 1.0
 OVERCOMMIT = 1.0
-# Where the prefix is cached a short wait costs less than reading it elsewhere.
+# A short wait for a replica that has the prefix cached costs less than the
+# prefill on another one.
 PREFERRED_OVERCOMMIT = 1.5
 URGENT_OVERCOMMIT = 2.0
-URGENT = 1
-PREFERRED = 4
-# Loads are in units of a full batch.
+URGENT_LEVEL = 1
+PREFERRED_COUNT = 4
+# Costs are in units of a full batch.
 OTHER_ZONE_COST = 0.25
 PREFIX_GAIN = 0.8
 
 
 @attrs.frozen
-class Weighed:
-    """A replica that was weighed for a request.
+class Candidate:
+    """A replica that was scored for a request.
 
     Attributes:
-        group: The replica.
-        cost: Its cost; the lowest is taken.
-        preferred: Whether the prompt's prefix leads to it.
+        group: Group of the replica.
+        cost: Its cost; the replica with the lowest one is chosen.
+        preferred: Whether the hash of the prompt's prefix maps to it.
     """
 
     group: str
@@ -52,21 +54,21 @@
 
 @attrs.frozen
 class Choice:
-    """The replica taken, and all that were weighed for it."""
+    """The chosen replica, and all replicas that were scored."""
 
     replica: messages.Replica
-    candidates: tuple[Weighed, ...]
+    candidates: tuple[Candidate, ...]
 
 
 @attrs.frozen
 class Unavailable:
-    """No replica can take the request now.
+    """No replica can accept the request now.
 
     Attributes:
-        has_untried_replica: Whether the service has any replica that this
-            request has not failed on; if so, waiting may help.
-        pause_s: When the first of these takes work again, in seconds, if each
-            of them asked for a pause; 0 if not.
+        has_untried_replica: Whether the service has a replica on which this
+            request has not failed; if so, waiting may help.
+        pause_s: Seconds until the first of these replicas accepts requests
+            again, if each of them asked for a pause; otherwise 0.
     """
 
     has_untried_replica: bool
@@ -88,13 +90,13 @@
 
         Args:
             zone: Zone of the entry.
-            table: Replicas that serve.
-            book: What this entry has seen of them.
-            rng: Source of the draws.
+            table: Replicas that accept requests.
+            book: Health of the replicas, as observed by this entry.
+            rng: Random number generator for the draws.
         """
         self._zone = zone
         self._table = table
-        self._book = book
+        self._health = book
         self._rng = rng
 
     def choose(
@@ -107,8 +109,8 @@
 
         Args:
             request: The request.
-            failed: Groups on which it has failed; they are not taken again.
-            now: Present time.
+            failed: Groups on which it has failed; they are not chosen again.
+            now: Current time.
         """
         usable = [
             replica
@@ -121,12 +123,12 @@
             choice = self._choose_among(candidates, request, now)
             if choice is not None:
                 return choice
-        pauses = [self._book.get(r.group).paused_until - now for r in usable]
+        pauses = [self._health.get(r.group).paused_until - now for r in usable]
         pause_s = max(0.0, min(pauses, default=0.0))
         return Unavailable(has_untried_replica=bool(usable), pause_s=pause_s)
 
     def _is_healthy(self, replica: messages.Replica, now: float) -> bool:
-        health = self._book.get(replica.group)
+        health = self._health.get(replica.group)
         return now >= max(health.ejected_until, health.paused_until)
 
     def _choose_among(
@@ -137,31 +139,33 @@
     ) -> Choice | None:
         if not candidates:
             return None
-        preferred = self._prefer(candidates, request)
+        preferred = self._list_preferred(candidates, request)
         drawn = self._rng.sample(candidates, min(2, len(candidates)))
-        choice = self._take_best([*preferred, *drawn], preferred, request, now)
+        choice = self._choose_best(
+            [*preferred, *drawn], preferred, request, now
+        )
         if choice is None:
-            # All drawn are full: look at every one before giving up.
-            choice = self._take_best(candidates, preferred, request, now)
+            # All drawn replicas are full: consider all before giving up.
+            choice = self._choose_best(candidates, preferred, request, now)
         return choice
 
-    def _prefer(
+    def _list_preferred(
         self, candidates: list[messages.Replica], request: model.Request
     ) -> list[messages.Replica]:
         if not request.prefix_hashes:
             return []
         by_group = {replica.group: replica for replica in candidates}
         ranked = rendezvous.rank_names(request.prefix_hashes[0], by_group)
-        return [by_group[group] for group in ranked[:PREFERRED]]
+        return [by_group[group] for group in ranked[:PREFERRED_COUNT]]
 
-    def _take_best(
+    def _choose_best(
         self,
         candidates: list[messages.Replica],
         preferred: list[messages.Replica],
         request: model.Request,
         now: float,
     ) -> Choice | None:
-        weighed: list[tuple[Weighed, messages.Replica]] = []
+        scored: list[tuple[Candidate, messages.Replica]] = []
         seen: set[str] = set()
         for replica in candidates:
             if replica.group in seen:
@@ -171,33 +175,33 @@
             is_preferred = replica in preferred
             if load >= _get_limit(replica, request, is_preferred):
                 continue
-            cost = self._weigh(replica, load, is_preferred, now)
-            weighed.append(
-                (Weighed(replica.group, cost, is_preferred), replica)
+            cost = self._score(replica, load, is_preferred, now)
+            scored.append(
+                (Candidate(replica.group, cost, is_preferred), replica)
             )
-        if not weighed:
+        if not scored:
             return None
-        best = min(weighed, key=lambda pair: pair[0].cost)
-        return Choice(best[1], tuple(pair[0] for pair in weighed))
+        best = min(scored, key=lambda pair: pair[0].cost)
+        return Choice(best[1], tuple(pair[0] for pair in scored))
 
     def _estimate_load(self, replica: messages.Replica, now: float) -> int:
         reported = self._table.loads.get(replica.group)
         if reported is None:
-            return self._book.get(replica.group).inflight
-        return self._book.estimate_load(
+            return self._health.get(replica.group).inflight
+        return self._health.estimate_load(
             replica.group,
             reported.requests,
             reported.reported_at - REPORT_LAG_S,
         )
 
-    def _weigh(
+    def _score(
         self,
         replica: messages.Replica,
         load: int,
         preferred: bool,
         now: float,
     ) -> float:
-        slowness = self._book.get_slowness(replica.group, now)
+        slowness = self._health.get_slowness(replica.group, now)
         cost = (load + 1) / replica.slots * slowness + (slowness - 1)
         if replica.zone != self._zone:
             cost += OTHER_ZONE_COST
@@ -209,7 +213,7 @@
 def _get_limit(
     replica: messages.Replica, request: model.Request, preferred: bool
 ) -> float:
-    if request.urgency <= URGENT:
+    if request.urgency <= URGENT_LEVEL:
         return replica.slots * URGENT_OVERCOMMIT
     if preferred:
         return replica.slots * PREFERRED_OVERCOMMIT
--- a/src/hickorylead/routing/publisher.py
+++ b/src/hickorylead/routing/publisher.py
@@ -1,4 +1,4 @@
-"""The holder's side of the replica table: what to tell, and to whom."""
+"""Publication of a zone's replica table by the zone's lease holder."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def build_table(
     members: Mapping[str, registry.Member], plan: planner.Planner
 ) -> dict[str, messages.Replica]:
-    """Returns the replicas of the zone that take new work, by group."""
+    """Returns the replicas of the zone that accept new requests, by group."""
     replicas = {}
     for group in plan.groups.values():
         if plan.is_serving(group):
@@ -52,18 +52,18 @@
 
 
 class Publisher:
-    """Tells listeners about the replicas of one zone."""
+    """Sends the replica table of one zone to listeners."""
 
     def __init__(self, *, zone: str) -> None:
         """Makes a publisher of an empty table.
 
         Args:
-            zone: The zone that it speaks for.
+            zone: The zone whose table it publishes.
         """
         self._zone = zone
         self._fence = 0
         self._sequence = 0
-        self._next = 0.0
+        self._next_publish_at = 0.0
         self.replicas: dict[str, messages.Replica] = {}
 
     def publish(
@@ -75,29 +75,31 @@
         fence: int,
         now: float,
     ) -> list[messages.Send]:
-        """Returns an update if something changed or a period has passed."""
+        """Returns updates if something changed or a period has passed."""
         added = tuple(
             replica
             for group, replica in sorted(replicas.items())
             if self.replicas.get(group) != replica
         )
         removed = tuple(sorted(set(self.replicas) - set(replicas)))
-        is_new = fence != self._fence
-        if not (added or removed or is_new or now >= self._next):
+        is_new_fence = fence != self._fence
+        if not (
+            added or removed or is_new_fence or now >= self._next_publish_at
+        ):
             return []
-        if is_new:
+        if is_new_fence:
             self._fence, self._sequence = fence, 0
         elif added or removed:
             self._sequence += 1
         self.replicas = dict(replicas)
-        self._next = now + PUBLISH_PERIOD_S
+        self._next_publish_at = now + PUBLISH_PERIOD_S
         update = messages.TableUpdate(
             zone=self._zone,
             fence=fence,
             sequence=self._sequence,
-            full=is_new,
-            added=self._list_all() if is_new else added,
-            removed=() if is_new else removed,
+            full=is_new_fence,
+            added=self._list_all() if is_new_fence else added,
+            removed=() if is_new_fence else removed,
             loads=self._pack_loads(members),
         )
         return [messages.Send(node, update) for node in listeners]
@@ -105,7 +107,7 @@
     def make_full_update(
         self, members: Mapping[str, registry.Member]
     ) -> messages.TableUpdate:
-        """Returns the whole table."""
+        """Returns an update with the full table."""
         return messages.TableUpdate(
             zone=self._zone,
             fence=self._fence,
--- a/src/hickorylead/routing/table.py
+++ b/src/hickorylead/routing/table.py
@@ -1,4 +1,4 @@
-"""The replicas known to one process, kept up to date by updates."""
+"""The replica table of one process, maintained from published updates."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from hickorylead.routing import messages
 
-# Withdrawals remembered; each is of use until the next update only.
+# Withdrawals retained; each is needed until the next update only.
 MAX_WITHDRAWN = 1000
-# Groups that left the table and are remembered, to tell whether a run that was
-# lost was lost with its replica; a zone has 120 replicas.
+# Removed groups retained. They show whether a lost run was lost together with
+# its replica. A zone has 120 replicas.
 MAX_REMOVED = 1000
 
 
@@ -26,11 +26,11 @@
 
 @attrs.define
 class ReportedLoad:
-    """A load as reported.
+    """The reported load of a replica.
 
     Attributes:
-        requests: Requests that run or wait there.
-        reported_at: When the report came.
+        requests: Requests running or queued on it.
+        reported_at: When the report arrived.
     """
 
     requests: int
@@ -49,10 +49,11 @@
         self._by_service: dict[str, list[messages.Replica]] | None = None
 
     def apply_update(self, update: messages.TableUpdate, now: float) -> bool:
-        """Takes an update; says whether the whole table must be asked for."""
+        """Applies an update; returns whether to request the full table."""
         zone = self.zones.setdefault(update.zone, ZoneTable())
         if update.fence < zone.fence:
-            # From a holder that was replaced and does not know it yet.
+            # Sent by a previous lease holder that has not noticed yet that it
+            # was replaced.
             return False
         has_changes = bool(update.added or update.removed)
         expected = zone.sequence + 1 if has_changes else zone.sequence
@@ -60,16 +61,16 @@
             if update.fence == zone.fence and update.sequence < zone.sequence:
                 return False
             for group in zone.replicas.keys() - {r.group for r in update.added}:
-                self._note_removed(group)
+                self._record_removed(group)
             zone.replicas = {}
             zone.complete = True
         elif update.fence == zone.fence and update.sequence < expected:
-            # A change that is known already, delivered late.
+            # A change that is already applied, delivered late.
             return not zone.complete
         elif update.fence != zone.fence or update.sequence != expected:
-            # An update was lost; without the whole table a replica that is
-            # gone would be kept for ever. A sign of life that follows a lost
-            # change shows it just as the next change does.
+            # An update was lost. Without the full table a removed replica
+            # would be kept for ever. An update without changes reveals the
+            # loss just as the next change does.
             zone.complete = False
             zone.last_update_at = now
             return True
@@ -78,15 +79,15 @@
         for group in update.removed:
             zone.replicas.pop(group, None)
             self.loads.pop(group, None)
-            self._note_removed(group)
+            self._record_removed(group)
         for replica in update.added:
             zone.replicas[replica.group] = replica
-        self._take_loads(zone, update.loads, now)
+        self._apply_loads(zone, update.loads, now)
         if update.full or update.added or update.removed:
             self._by_service = None
         return not zone.complete
 
-    def _take_loads(self, zone: ZoneTable, loads: bytes, now: float) -> None:
+    def _apply_loads(self, zone: ZoneTable, loads: bytes, now: float) -> None:
         if len(loads) != len(zone.replicas):
             return
         for (group, replica), value in zip(
@@ -96,7 +97,7 @@
             self.loads[group] = ReportedLoad(requests, now)
 
     def withdraw(self, withdrawal: messages.Withdrawal) -> None:
-        """Stops offering a replica, whatever updates still say of it."""
+        """Stops listing a replica, even if updates still contain it."""
         key = (withdrawal.group, withdrawal.generation)
         self._withdrawn[key] = None
         while len(self._withdrawn) > MAX_WITHDRAWN:
@@ -104,7 +105,7 @@
         self._by_service = None
 
     def remove_zone(self, zone: str) -> None:
-        """Drops the replicas of a zone that was not heard for long."""
+        """Removes the replicas of a zone that sent no update for long."""
         if self.zones.pop(zone, None) is not None:
             self._by_service = None
 
@@ -122,15 +123,18 @@
         return self._by_service.get(service, [])
 
     def was_removed(self, group: str) -> bool:
-        """Says whether a replica has left the table of a zone that is heard."""
+        """Returns whether an update has removed a replica from the table.
+
+        Replicas of zones that sent no update for long do not count.
+        """
         return group in self._removed
 
-    def _note_removed(self, group: str) -> None:
+    def _record_removed(self, group: str) -> None:
         self._removed[group] = None
         while len(self._removed) > MAX_REMOVED:
             del self._removed[next(iter(self._removed))]
 
     def has_replica(self, replica: messages.Replica) -> bool:
-        """Says whether exactly this replica still takes requests."""
+        """Returns whether exactly this replica still accepts requests."""
         zone = self.zones.get(replica.zone)
         return zone is not None and zone.replicas.get(replica.group) == replica
--- a/tests/routing/table.feature
+++ b/tests/routing/table.feature
@@ -1,9 +1,10 @@
-Feature: The replica table at an entry
+Feature: The replica table of an entry
 
-  Scenario: A sign of life that follows a lost change is not that change
+  Scenario: An update without changes does not stand in for a lost change
     The update that removes a dead replica is lost. The next update has no
-    changes, only the number of the lost one. Taken for it, the entry would
-    send work to the dead replica for ever; it must ask for the whole table.
-    Given a table that knows replicas "a" and "b"
-    When the update that removes "a" is lost and a sign of life follows
-    Then the whole table is asked for, and after it only "b" is left
+    changes, but the sequence number of the lost one. If the entry accepted it,
+    it would send requests to the dead replica for ever. It must request the
+    full table.
+    Given a table with replicas "a" and "b"
+    When the update that removes "a" is lost and one without changes follows
+    Then the full table is requested, and after it only "b" remains
--- a/tests/steps/placement_steps.py
+++ b/tests/steps/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps about placement and repair."""
+"""Steps of placement and repair."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 
 @then("the other member stayed in its group")
 def _(context):
-    world = context.world
-    dead = world.servers[context.dead].state
-    fellows = [
+    simulation = context.world
+    dead = simulation.servers[context.dead].state
+    members = [
         s.state
-        for s in world.servers.values()
+        for s in simulation.servers.values()
         if s.alive and s.state.group == dead.group
     ]
-    assert len(fellows) == 2 and {f.generation for f in fellows} == {2}
+    assert len(members) == 2 and {m.generation for m in members} == {2}
 
 
 @when(
-    'a member of "{zone}" dies and its replacement within a second of the'
+    'a member of "{zone}" dies and its replacement dies within a second of the'
     " repair"
 )
 def _(context, zone):
-    world = context.world
+    simulation = context.world
     vm = next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.zone == zone and s.state.rank == 1
     )
-    group = world.servers[vm].state.group
-    world.kill_server(vm)
+    group = simulation.servers[vm].state.group
+    simulation.kill_server(vm)
 
     def find_replacement():
         return next(
             (
                 v
-                for v, s in world.servers.items()
+                for v, s in simulation.servers.items()
                 if s.alive
                 and s.state.group == group
                 and s.state.generation > 1
@@ -56,17 +56,17 @@
             None,
         )
 
-    world.run_until(find_replacement)
-    world.run(0.5)
-    world.kill_server(find_replacement())
-    world.run(6)
+    simulation.run_until(find_replacement)
+    simulation.run(0.5)
+    simulation.kill_server(find_replacement())
+    simulation.run(6)
 
 
-@then('every VM of "{zone}" in a group serves in it')
+@then('every VM of "{zone}" that is in a group serves')
 def _(context, zone):
-    world = context.world
+    simulation = context.world
     groups = {}
-    for server in world.servers.values():
+    for server in simulation.servers.values():
         if server.alive and server.state.zone == zone and server.state.group:
             groups.setdefault(server.state.group, []).append(server.state)
     for states in groups.values():
@@ -75,48 +75,48 @@
         assert len({s.domain for s in states}) == 1
 
 
-@when('domain "{domain}" goes dark')
+@when('all VMs of domain "{domain}" fail')
 def _(context, domain):
-    world = context.world
-    for vm, server in world.servers.items():
+    simulation = context.world
+    for vm, server in simulation.servers.items():
         if server.state.domain == domain:
-            world.kill_server(vm)
+            simulation.kill_server(vm)
 
 
-@when('callers of "{zone}" ask for {seconds:d} s')
+@when('callers of "{zone}" send requests for {seconds:d} s')
 def _(context, zone, seconds):
-    world = context.world
-    own = [n for n in world.entries if nodes.get_zone(n) == zone]
+    simulation = context.world
+    own = [n for n in simulation.entries if nodes.get_zone(n) == zone]
     context.answers = []
     for second in range(seconds):
-        world.call_later(
+        simulation.call_later(
             second,
             lambda s=second: context.answers.append(
-                world.submit(own[s % len(own)], "assistant")
+                simulation.submit(own[s % len(own)], "assistant")
             ),
         )
-    world.run(seconds + 5)
+    simulation.run(seconds + 5)
 
 
-@then("at least {share:d} in 100 of them got their answer")
+@then("at least {share:d} in 100 of their requests succeeded")
 def _(context, share):
     ran = sum(a.verdict == Verdict.RAN for a in context.answers)
     assert 100 * ran >= share * len(context.answers), ran
 
 
-@then('the survivor in "{zone}" is still held')
+@then('the surviving member in "{zone}" is still in its group')
 def _(context, zone):
-    held = [s for s in list_survivors(context, zone) if s.group]
+    held = [s for s in list_live_engines(context, zone) if s.group]
     assert len(held) == 3, held
 
 
-@then('the survivor in "{zone}" is free')
+@then('the surviving member in "{zone}" is free')
 def _(context, zone):
-    held = [s for s in list_survivors(context, zone) if s.group]
+    held = [s for s in list_live_engines(context, zone) if s.group]
     assert len(held) == 2, held
 
 
-def list_survivors(context, zone):
+def list_live_engines(context, zone):
     return [
         s.state
         for s in context.world.servers.values()
@@ -124,47 +124,48 @@
     ]
 
 
-@when('requests run and the preset "maintenance" is switched to')
+@when('an operator switches to the preset "maintenance" while requests run')
 def _(context):
-    world = context.world
+    simulation = context.world
     operator_actions.apply(
-        world, changes.ApplyPreset(model.Preset("maintenance", ()))
+        simulation, changes.ApplyPreset(model.Preset("maintenance", ()))
     )
     context.answers = [
-        world.submit(node, "assistant", max_tokens=200)
-        for node in world.entries
+        simulation.submit(node, "assistant", max_tokens=200)
+        for node in simulation.entries
         for _ in range(3)
     ]
-    world.run(1)
-    operator_actions.apply(world, changes.SwitchPreset("maintenance"))
+    simulation.run(1)
+    operator_actions.apply(simulation, changes.SwitchPreset("maintenance"))
 
 
 @then("no replica serves and every VM is free")
 def _(context):
-    world = context.world
-    for server in world.servers.values():
+    simulation = context.world
+    for server in simulation.servers.values():
         assert server.is_plain or not server.state.group, server.state
-    refused = world.submit(world.entries[0], "assistant")
+    refused = simulation.submit(simulation.entries[0], "assistant")
     assert refused.code == "no_replica" and refused.verdict == Verdict.NOT_RUN
 
 
 @when("the version of the service changes")
 def _(context):
-    world = context.world
+    simulation = context.world
     context.gaps = []
 
     def watch():
-        for zone in world.zones:
-            own = [n for n in world.entries if nodes.get_zone(n) == zone]
+        for zone in simulation.zones:
+            own = [n for n in simulation.entries if nodes.get_zone(n) == zone]
             if not any(
-                operator_actions.count_replicas(world, n, zone) for n in own
+                operator_actions.count_replicas(simulation, n, zone)
+                for n in own
             ):
-                context.gaps.append((world.now, zone))
-        world.call_later(0.2, watch)
+                context.gaps.append((simulation.now, zone))
+        simulation.call_later(0.2, watch)
 
     watch()
     operator_actions.apply(
-        world,
+        simulation,
         changes.ApplyService(
             model.Service(
                 "assistant", model="lead", version="2", replicas=6, group_size=2
@@ -175,46 +176,48 @@
 
 @then("within {seconds:g} s all replicas hold the new version")
 def _(context, seconds):
-    world = context.world
+    simulation = context.world
 
     def all_new():
         held = [
-            s.state.weights for s in world.servers.values() if s.state.group
+            s.state.weights
+            for s in simulation.servers.values()
+            if s.state.group
         ]
         return len(held) >= 12 and set(held) == {"lead@2"}
 
-    context.took_s = world.run_until(all_new, limit_s=seconds)
+    context.took_s = simulation.run_until(all_new, limit_s=seconds)
 
 
-@then("some replica of each zone served all the time")
+@then("each zone had a serving replica all the time")
 def _(context):
-    # A plain service counts as a replica in two zones; the first has none.
+    # A plain service counts as a replica in two zones; the first zone has none.
     assert not context.gaps, context.gaps[:3]
 
 
 def start_two_ranks(context, policy, *, engines, urgent, ordinary):
     """Starts one zone with an urgent service and one of a lower rank."""
-    world = context.world = simulation_module.Simulation(
+    simulation = context.world = simulation_module.Simulation(
         policy=policy, zones=("a",)
     )
-    world.checkers = list(invariants.ALL)
-    world.group_size = 2
-    world.add_engines("a", engines, domain_size=engines)
-    operator_actions.bootstrap_cluster(world)
+    simulation.checkers = list(invariants.ALL)
+    simulation.group_size = 2
+    simulation.add_engines("a", engines, domain_size=engines)
+    operator_actions.bootstrap_cluster(simulation)
     for name, rank in (("ordinary", 5), ("urgent", 0)):
         service = model.Service(
             name, model="m", version="1", group_size=2, rank=rank
         )
-        operator_actions.apply(world, changes.ApplyService(service))
+        operator_actions.apply(simulation, changes.ApplyService(service))
     shares = (
         model.Share("ordinary", "a", ordinary),
         model.Share("urgent", "a", urgent),
     )
     operator_actions.apply(
-        world, changes.ApplyPreset(model.Preset("p", shares))
+        simulation, changes.ApplyPreset(model.Preset("p", shares))
     )
-    operator_actions.apply(world, changes.SwitchPreset("p"))
-    return world
+    operator_actions.apply(simulation, changes.SwitchPreset("p"))
+    return simulation
 
 
 @when("two services of different rank start with one load at a time")
@@ -236,12 +239,12 @@
 
 @when("a service with groups of {size:d} VMs is applied")
 def _(context, size):
-    world = context.world
+    simulation = context.world
     service = model.Service("big", model="m", version="1", group_size=size)
     context.change = operator_actions.submit(
-        world, changes.ApplyService(service)
+        simulation, changes.ApplyService(service)
     )
-    world.run_until(lambda: context.change in world.outcomes)
+    simulation.run_until(lambda: context.change in simulation.outcomes)
 
 
 @then("the change is refused because it does not fit")
@@ -254,101 +257,110 @@
 @given("a zone full of groups of two ranks")
 def _(context):
     policy = planner.Policy(spares=0, hold_broken_s=2)
-    world = start_two_ranks(context, policy, engines=6, urgent=1, ordinary=2)
-    world.run_until(
-        lambda: operator_actions.count_replicas(world, world.entries[0]) == 3
+    simulation = start_two_ranks(
+        context, policy, engines=6, urgent=1, ordinary=2
+    )
+    simulation.run_until(
+        lambda: (
+            operator_actions.count_replicas(simulation, simulation.entries[0])
+            == 3
+        )
     )
 
 
 @when("the group of the more urgent service loses a member")
 def _(context):
-    world = context.world
+    simulation = context.world
     vm = next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.service == "urgent" and s.state.rank == 1
     )
-    world.kill_server(vm)
-    world.run(6)
+    simulation.kill_server(vm)
+    simulation.run(6)
 
 
 @then("within {seconds:g} s the more urgent service serves again")
 def _(context, seconds):
-    world = context.world
-    role = world.roles[world.entries[0]]
-    context.took_s = world.run_until(
+    simulation = context.world
+    role = simulation.roles[simulation.entries[0]]
+    context.took_s = simulation.run_until(
         lambda: role.table.list_replicas("urgent"), limit_s=seconds
     )
 
 
-def list_all_nodes(world, zone):
+def list_all_nodes(simulation, zone):
     return [
         n
-        for n in (*world.controls, *world.entries)
+        for n in (*simulation.controls, *simulation.entries)
         if nodes.get_zone(n) == zone
     ]
 
 
-def count_running(world, zone):
+def count_running(simulation, zone):
     return len(
         {
             s.state.group
-            for s in world.servers.values()
+            for s in simulation.servers.values()
             if s.alive and s.state.zone == zone and s.state.group
         }
     )
 
 
-@when('zone "{zone}" vanishes with all its VMs')
+@when('all processes and VMs of zone "{zone}" fail')
 def _(context, zone):
-    world = context.world
-    for node in list_all_nodes(world, zone):
-        world.kill(node)
-    for vm, server in world.servers.items():
+    simulation = context.world
+    for node in list_all_nodes(simulation, zone):
+        simulation.kill(node)
+    for vm, server in simulation.servers.items():
         if server.state.zone == zone:
-            world.kill_server(vm)
+            simulation.kill_server(vm)
 
 
-@then("the zones that are left run {count:d} replicas")
+@then("the remaining zones run {count:d} replicas")
 def _(context, count):
-    world = context.world
-    assert sum(count_running(world, z) for z in world.zones) == count
+    simulation = context.world
+    assert sum(count_running(simulation, z) for z in simulation.zones) == count
 
 
-@when('zone "{zone}" is back under traffic for {seconds:d} s')
+@when('zone "{zone}" returns and traffic runs for {seconds:d} s')
 def _(context, zone, seconds):
-    world = context.world
-    for node in list_all_nodes(world, zone):
-        world.start(node)
-    for vm, server in world.servers.items():
+    simulation = context.world
+    for node in list_all_nodes(simulation, zone):
+        simulation.start(node)
+    for vm, server in simulation.servers.items():
         if server.state.zone == zone and not server.is_plain:
-            world.restart_server(vm)
-    left = [n for n in world.entries if nodes.get_zone(n) != zone]
+            simulation.restart_server(vm)
+    remaining = [n for n in simulation.entries if nodes.get_zone(n) != zone]
     context.answers = []
     for step in range(seconds * 5):
-        world.call_later(
+        simulation.call_later(
             step / 5,
             lambda s=step: context.answers.append(
-                world.submit(left[s % len(left)], "assistant", max_tokens=40)
+                simulation.submit(
+                    remaining[s % len(remaining)], "assistant", max_tokens=40
+                )
             ),
         )
-    world.run(seconds + 10)
+    simulation.run(seconds + 10)
 
 
-@then("each zone runs {count:d} replicas and every caller had its answer")
+@then("each zone runs {count:d} replicas and every request succeeded")
 def _(context, count):
-    world = context.world
-    running = {zone: count_running(world, zone) for zone in world.zones}
+    simulation = context.world
+    running = {
+        zone: count_running(simulation, zone) for zone in simulation.zones
+    }
     assert set(running.values()) == {count}, running
     codes = {a.code for a in context.answers if a.verdict != Verdict.RAN}
     assert not codes, codes
     attempts = [
-        len([s for s in trail.steps if s.code == "attempt"])
+        len([s for s in history.steps if s.code == "attempt"])
         for a in context.answers
         if (
-            trail := world.roles[a.entry].dispatcher.trails.get(
+            history := simulation.roles[a.entry].dispatcher.trails.get(
                 a.request.request_id
             )
         )
     ]
-    assert max(attempts) == 1, "a planned drain cut a request"
+    assert max(attempts) == 1, "a planned drain aborted a request"
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the life of requests."""
+"""Steps of the processing of requests at an entry."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 def start_streams(context, tokens=100):
-    world = context.world
+    simulation = context.world
     context.answers = [
-        world.submit(node, "assistant", max_tokens=tokens)
-        for node in world.entries
+        simulation.submit(node, "assistant", max_tokens=tokens)
+        for node in simulation.entries
         for _ in range(2)
     ]
-    world.run(1.0)
+    simulation.run(1.0)
 
 
 def find_running(context):
-    """Returns an attempt that runs: (server, attempt id, entry, request)."""
+    """Returns a running attempt: (server, attempt id, entry, request)."""
     for server in context.world.servers.values():
         for attempt_id, (node, request_id) in server.streams.items():
             return server, attempt_id, node, request_id
-    raise AssertionError("no stream runs")
+    raise AssertionError("no stream is running")
 
 
-@when("streams run and a member of the group of one dies")
+@when("a member of a group that runs a stream dies")
 def _(context):
     start_streams(context)
     server, *_ = find_running(context)
@@ -44,16 +44,16 @@
     context.world.kill_server(vm)
 
 
-@when("a stream runs and its connection goes silent")
+@when("the connection of a running stream stalls")
 def _(context):
-    world = context.world
+    simulation = context.world
     context.answers = [
-        world.submit(world.entries[0], "assistant", max_tokens=200)
+        simulation.submit(simulation.entries[0], "assistant", max_tokens=200)
     ]
-    world.run(1.0)
+    simulation.run(1.0)
     server, attempt_id, _, request_id = find_running(context)
     context.request_id = request_id
-    # The server goes on, but nothing it sends on this connection arrives.
+    # The server continues, but nothing it sends on this connection arrives.
     server.streams[attempt_id] = ("nowhere", request_id)
 
 
@@ -68,16 +68,16 @@
     assert len(runs) == 1, runs
 
 
-@when("streams run and the leading server of one pauses for {seconds:g} s")
+@when("the head of a group that runs a stream freezes for {seconds:g} s")
 def _(context, seconds):
     start_streams(context)
     server, *_ = find_running(context)
     context.world.pause_server(server.state.vm, seconds)
 
 
-@when("a stream gets doubled, late and foreign frames")
+@when("a stream gets duplicate, late and foreign frames")
 def _(context):
-    world = context.world
+    simulation = context.world
     start_streams(context)
     server, attempt_id, node, request_id = find_running(context)
     other = next(
@@ -85,45 +85,51 @@
         for a in context.answers
         if a.request.request_id != request_id
     )
-    double = events.FrameArrived(attempt_id, request_id, 0, 1, "again")
+    duplicate = events.FrameArrived(attempt_id, request_id, 0, 1, "again")
     late = events.FrameArrived("former.1", request_id, 5, 1, "late")
     foreign = events.FrameArrived(attempt_id, other, 3, 1, "foreign")
-    for frame in (double, double, late, foreign):
-        world.deliver(node, frame)
+    for frame in (duplicate, duplicate, late, foreign):
+        simulation.deliver(node, frame)
 
 
-@when("the server of a call that may run once dies during the call")
+@when("the server of a non-idempotent request dies while it runs")
 def _(context):
-    world = context.world
-    for server in world.servers.values():
+    simulation = context.world
+    for server in simulation.servers.values():
         server.service_s = 5.0
-    context.last = world.submit(world.entries[0], "dispatch", key="once")
-    world.run_until(lambda: world.key_runs["once"])
-    vm = next(vm for vm, s in world.servers.items() if s.is_plain and s.streams)
-    world.kill_server(vm)
+    context.last = simulation.submit(
+        simulation.entries[0], "dispatch", key="once"
+    )
+    simulation.run_until(lambda: simulation.key_runs["once"])
+    vm = next(
+        vm for vm, s in simulation.servers.items() if s.is_plain and s.streams
+    )
+    simulation.kill_server(vm)
 
 
-@when("traffic runs and one domain of each zone goes dark")
+@when("one domain of each zone fails under traffic")
 def _(context):
-    world = context.world
+    simulation = context.world
     context.answers = []
     count = 0
 
     def send():
         nonlocal count
         count += 1
-        node = world.entries[count % len(world.entries)]
-        context.answers.append(world.submit(node, "assistant", max_tokens=20))
+        node = simulation.entries[count % len(simulation.entries)]
+        context.answers.append(
+            simulation.submit(node, "assistant", max_tokens=20)
+        )
         if count < 1500:
-            world.call_later(0.02, send)
+            simulation.call_later(0.02, send)
 
     send()
-    world.run(5)
-    for zone in world.zones:
-        for vm, server in world.servers.items():
+    simulation.run(5)
+    for zone in simulation.zones:
+        for vm, server in simulation.servers.items():
             if server.state.domain == f"{zone}-d0":
-                world.kill_server(vm)
-    world.run(40)
+                simulation.kill_server(vm)
+    simulation.run(40)
 
 
 @then("extra attempts are below {share:d} in 100 requests")
@@ -131,11 +137,11 @@
     attempts = sum(len(s.runs) for s in context.world.servers.values())
     ended = sum(a.verdict == Verdict.RAN for a in context.answers)
     assert ended >= 0.97 * len(context.answers), ended
-    trails = [
+    histories = [
         context.world.roles[a.entry].dispatcher.trails.get(a.request.request_id)
         for a in context.answers
     ]
-    steps = [s.code for t in trails if t for s in t.steps]
+    steps = [s.code for h in histories if h for s in h.steps]
     extra = steps.count("attempt") - len(context.answers)
     context.extra = extra
     assert 0 < extra <= share * len(context.answers) / 100, (extra, attempts)
@@ -154,7 +160,7 @@
     context.late = context.world.submit(context.node, "assistant")
 
 
-@then("the late request was refused as not run")
+@then("the request to the stopping entry was refused as not run")
 def _(context):
     assert context.late.verdict == Verdict.NOT_RUN
     assert context.late.code == "entry_stopping"
@@ -167,17 +173,19 @@
 
 
 @when(
-    "{count:d} requests of {deadline:g} s deadline come to one entry within a"
-    " second"
+    "{count:d} requests with a deadline of {deadline:g} s arrive at one entry"
+    " within a second"
 )
 def _(context, count, deadline):
-    world = context.world
+    simulation = context.world
     context.answers = []
     for number in range(count):
-        world.call_later(
+        simulation.call_later(
             number / count,
             lambda: context.answers.append(
-                world.submit(world.entries[0], "assistant", deadline_s=deadline)
+                simulation.submit(
+                    simulation.entries[0], "assistant", deadline_s=deadline
+                )
             ),
         )
 
@@ -194,7 +202,7 @@
     assert len(at_once) >= len(refused) / 2, (len(at_once), len(refused))
 
 
-@then("each refusal says when to come back")
+@then("each refusal has a retry time")
 def _(context):
     for answer in context.answers:
         if answer.code:
@@ -215,12 +223,12 @@
     assert context.queue.shed() is None
 
 
-@when("an urgent request comes")
+@when("an urgent request arrives")
 def _(context):
     context.queue.push(make_request(99, urgency=0), 1.0)
 
 
-@then("it is the next one taken, and an ordinary one gave way")
+@then("it is the next one served, and an ordinary one was shed")
 def _(context):
     shed = context.queue.shed()
     assert shed and shed.request.urgency == 3
@@ -239,27 +247,29 @@
         context.queue.push(make_request(1000 + number, workspace=small), 0.0)
 
 
-@then('all {few:d} of "{small}" are among the first {taken:d} taken')
-def _(context, few, small, taken):
+@then('all {few:d} of "{small}" are among the first {served:d} served')
+def _(context, few, small, served):
     first = collections.Counter(
-        context.queue.pop().request.workspace for _ in range(taken)
+        context.queue.pop().request.workspace for _ in range(served)
     )
     assert first[small] == few, first
 
 
-@when("a caller leaves in mid stream")
+@when("a caller disconnects in mid stream")
 def _(context):
-    world = context.world
-    answer = world.submit(world.entries[0], "assistant", max_tokens=500)
-    world.run(1)
+    simulation = context.world
+    answer = simulation.submit(
+        simulation.entries[0], "assistant", max_tokens=500
+    )
+    simulation.run(1)
     assert answer.text
     context.request_id = answer.request.request_id
-    world.deliver(
-        world.entries[0], events.CallerDisconnected(context.request_id)
+    simulation.deliver(
+        simulation.entries[0], events.CallerDisconnected(context.request_id)
     )
 
 
-@then("no server works on its request")
+@then("no server runs its request")
 def _(context):
     assert not any(s.batch.running for s in context.world.servers.values())
     assert operator_actions.count_replicas(
@@ -268,17 +278,18 @@
 
 
 def run_traffic(context, seconds):
-    """Sends requests of one zone, and counts the runs of its two replicas."""
-    world = context.world
-    own = [n for n in world.entries if n.startswith("buda-hall")]
+    """Sends requests in one zone and counts the runs of its two replicas."""
+    simulation = context.world
+    own = [n for n in simulation.entries if n.startswith("buda-hall")]
     pair = [context.slow, context.fast]
     before = [len(server.runs) for server in pair]
     for step in range(int(seconds * 4)):
         node = own[step % len(own)]
-        world.call_later(
-            step / 4, lambda n=node: world.submit(n, "assistant", max_tokens=15)
+        simulation.call_later(
+            step / 4,
+            lambda n=node: simulation.submit(n, "assistant", max_tokens=15),
         )
-    world.run(seconds)
+    simulation.run(seconds)
     context.got = [
         len(server.runs) - count
         for server, count in zip(pair, before, strict=True)
@@ -306,96 +317,110 @@
     run_traffic(context, seconds)
 
 
-@then("it got less than {share:d} in 100 of what its neighbour got, and some")
+@then(
+    "it ran fewer than {share:d} requests per 100 of the other replica, and"
+    " some"
+)
 def _(context, share):
     slow, fast = context.got
     assert 0 < slow < share / 100 * fast, context.got
 
 
-@then("it got more than {share:d} in 100 of what its neighbour got, and some")
+@then(
+    "it ran more than {share:d} requests per 100 of the other replica, and some"
+)
 def _(context, share):
     slow, fast = context.got
     assert fast > 0 and slow > share / 100 * fast, context.got
 
 
-DEADLY = b"ends its server"
+CRASHING_BODY = b"ends its server"
 
 
-def submit_deadly(context, number=0):
-    """Submits a request that ends each server which runs it to an entry."""
-    world = context.world
-    world.crashing_bodies.add(DEADLY)
-    context.last = world.submit(
-        world.entries[number], "assistant", max_tokens=20, body=DEADLY
+def submit_crashing_request(context, number=0):
+    """Submits a request that crashes each server that runs it."""
+    simulation = context.world
+    simulation.crashing_bodies.add(CRASHING_BODY)
+    context.last = simulation.submit(
+        simulation.entries[number],
+        "assistant",
+        max_tokens=20,
+        body=CRASHING_BODY,
     )
 
 
-@when("a request that ends its servers is submitted once")
+@when("a request that crashes its servers is submitted once")
 def _(context):
-    submit_deadly(context)
+    submit_crashing_request(context)
 
 
 @when(
-    "a request that ends its servers is submitted {count:d} times to one entry"
+    "a request that crashes its servers is submitted {count:d} times to one"
+    " entry"
 )
 def _(context, count):
     for _ in range(count):
-        submit_deadly(context)
+        submit_crashing_request(context)
         context.world.run(6.0)
 
 
 @when(
-    "a request that ends its servers is submitted to {count:d} entries in turn"
+    "a request that crashes its servers is submitted to {count:d} entries in"
+    " turn"
 )
 def _(context, count):
     for number in range(count):
-        submit_deadly(context, number)
+        submit_crashing_request(context, number)
         context.world.run(6.0)
 
 
-@when("a request ends one server by way of an entry of each zone")
+@when("a request crashes one server through an entry of each zone")
 def _(context):
-    world = context.world
-    for zone in world.zones:
-        node = next(n for n in world.entries if n.startswith(f"{zone}/"))
-        submit_deadly(context, world.entries.index(node))
-        before = count_ended(world)
-        world.run_until(lambda known=before: count_ended(world) > known)
-        left = events.CallerDisconnected(context.last.request.request_id)
-        world.deliver(node, left)
-        world.run(5.0)
-        assert count_ended(world) == before + 1
+    simulation = context.world
+    for zone in simulation.zones:
+        node = next(n for n in simulation.entries if n.startswith(f"{zone}/"))
+        submit_crashing_request(context, simulation.entries.index(node))
+        before = count_crashed(simulation)
+        simulation.run_until(
+            lambda known=before: count_crashed(simulation) > known
+        )
+        disconnected = events.CallerDisconnected(
+            context.last.request.request_id
+        )
+        simulation.deliver(node, disconnected)
+        simulation.run(5.0)
+        assert count_crashed(simulation) == before + 1
 
 
-def count_ended(world):
-    """Returns how many servers have ended."""
-    return sum(not server.alive for server in world.servers.values())
+def count_crashed(simulation):
+    """Returns how many servers have crashed."""
+    return sum(not server.alive for server in simulation.servers.values())
 
 
-@when("all entries and control processes of a zone start again")
+@when("all entries and control processes of a zone restart")
 def _(context):
-    world = context.world
-    zone = world.zones[0]
-    for node in (*world.controls, *world.entries):
+    simulation = context.world
+    zone = simulation.zones[0]
+    for node in (*simulation.controls, *simulation.entries):
         if node.startswith(f"{zone}/"):
-            world.start(node)
+            simulation.start(node)
 
 
 @then('all entries refuse it as not_run with code "{code}"')
 def _(context, code):
-    world = context.world
-    for number, node in enumerate(world.entries):
-        submit_deadly(context, number)
-        world.run(0.5)
+    simulation = context.world
+    for number, node in enumerate(simulation.entries):
+        submit_crashing_request(context, number)
+        simulation.run(0.5)
         final = context.last.final_effect
         assert isinstance(final, events.Refuse), (node, final)
         assert final.problem.code == code, (node, final)
         assert final.problem.verdict is Verdict.NOT_RUN, (node, final)
 
 
-@then("it ended {count:d} servers at most")
+@then("it crashed {count:d} servers at most")
 def _(context, count):
-    ended = count_ended(context.world)
+    ended = count_crashed(context.world)
     assert 1 <= ended <= count, ended
 
 
@@ -407,7 +432,7 @@
     assert final.problem.verdict.value == verdict, final
 
 
-@then("no request is refused for the servers that it ended or that failed")
+@then("no request is refused because of servers that it crashed or that failed")
 def _(context):
     codes = [
         answer.final_effect.problem.code
@@ -417,22 +442,24 @@
     assert not {"ends_servers", "replicas_failed"} & set(codes), codes
 
 
-@then("another request is answered")
+@then("another request gets a complete response")
 def _(context):
-    world = context.world
-    answer = world.submit(world.entries[0], "assistant", max_tokens=20)
-    world.run(10.0)
+    simulation = context.world
+    answer = simulation.submit(
+        simulation.entries[0], "assistant", max_tokens=20
+    )
+    simulation.run(10.0)
     assert isinstance(answer.final_effect, events.FinishStream), (
         answer.final_effect
     )
 
 
-@when("{which} turns work away and asks for {pause:g} s, for {seconds:g} s")
+@when("{which} refuses requests with a pause of {pause:g} s, for {seconds:g} s")
 def _(context, which, pause, seconds):
-    world = context.world
+    simulation = context.world
     leading = [
         server
-        for _, server in sorted(world.servers.items())
+        for _, server in sorted(simulation.servers.items())
         if server.state.service == "assistant" and server.state.rank == 0
     ]
     assert leading
@@ -440,20 +467,23 @@
     for server in context.paused:
         server.refusal_retry_after_s = pause
     context.pause_s, context.answers = pause, []
-    end = world.now + seconds
+    end = simulation.now + seconds
     count = 0
-    while world.now < end:
-        node = world.entries[count % len(world.entries)]
+    while simulation.now < end:
+        node = simulation.entries[count % len(simulation.entries)]
         count += 1
-        answer = world.submit(node, "assistant", max_tokens=5)
+        answer = simulation.submit(node, "assistant", max_tokens=5)
         context.answers.append(answer)
-        world.run(0.1)
+        simulation.run(0.1)
 
 
-@when("all replicas turn work away and ask for {pause:g} s, for {seconds:g} s")
+@when(
+    "all replicas refuse requests with a pause of {pause:g} s, for"
+    " {seconds:g} s"
+)
 def _(context, pause, seconds):
     context.execute_steps(
-        f"When each of them turns work away and asks for {pause:g} s, "
+        f"When each of them refuses requests with a pause of {pause:g} s, "
         f"for {seconds:g} s"
     )
 
@@ -476,12 +506,11 @@
 
 
 @then(
-    "each request is refused as not_run within {late_s:g} s, with a time to "
-    "come back"
+    "each request is refused as not_run within {late_s:g} s, with a retry time"
 )
 def _(context, late_s):
-    world = context.world
-    world.run(late_s)
+    simulation = context.world
+    simulation.run(late_s)
     for answer in context.answers:
         problem = answer.final_effect.problem
         assert problem.verdict is Verdict.NOT_RUN, problem
--- a/tests/steps/safeguard_steps.py
+++ b/tests/steps/safeguard_steps.py
@@ -69,7 +69,7 @@
     world.run(1)
     request_id = answer.request.request_id
     open_ = world.roles[world.entries[0]].dispatcher
-    position = open_._open[request_id].position
+    position = open_._pending[request_id].position
     late = events.FrameArrived(
         f"{request_id}.1", request_id, position, 1, "late"
     )
@@ -150,7 +150,7 @@
 
 
 def break_take_frame(self, frame, now):
-    opened = self._find(frame.attempt_id)
+    opened = self._find_pending(frame.attempt_id)
     if opened is None:
         return []
     opened.current_attempt.last_frame_at = now
@@ -162,7 +162,7 @@
 
 
 def break_find(self, attempt_id):
-    opened = self._open.get(attempt_id.rpartition(".")[0])
+    opened = self._pending.get(attempt_id.rpartition(".")[0])
     return opened if opened and opened.current_attempt else None
 
 
@@ -241,12 +241,12 @@
     ),
     "frames must fit the position": (
         dispatcher.Dispatcher,
-        "_take_frame",
+        "_handle_frame",
         break_take_frame,
     ),
     "former attempts are dropped": (
         dispatcher.Dispatcher,
-        "_find",
+        "_find_pending",
         break_find,
     ),
     "only signed refusals are not run": (
@@ -266,7 +266,7 @@
     ),
     "leaving servers are not whole": (
         (groups, "is_ready", break_is_whole),
-        (planner.Planner, "_is_unwanted", lambda self, vm: False),
+        (planner.Planner, "_must_leave", lambda self, vm: False),
         (table.ReplicaTable, "withdraw", lambda self, withdrawal: None),
     ),
     "followers never go back": (follower.Follower, "adopt", break_adopt),
--- a/tests/steps/table_steps.py
+++ b/tests/steps/table_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the replica table."""
+"""Steps of the replica table."""
 
 from __future__ import annotations
 
@@ -16,23 +16,34 @@
     return messages.TableUpdate("z", 1, sequence, full, added)
 
 
-@given('a table that knows replicas "{one}" and "{other}"')
+@given('a table with replicas "{one}" and "{other}"')
 def _(context, one, other):
-    context.known = table.ReplicaTable()
-    context.known.apply_update(make_update(0, [one, other], full=True), 0.0)
+    context.replica_table = table.ReplicaTable()
+    context.replica_table.apply_update(
+        make_update(0, [one, other], full=True), 0.0
+    )
 
 
-@when('the update that removes "{gone}" is lost and a sign of life follows')
-def _(context, gone):
-    assert gone in {r.group for r in context.known.list_replicas("s")}
-    sign = make_update(1, [], full=False)
-    context.asks = context.known.apply_update(sign, 1.0)
+@when(
+    'the update that removes "{removed}" is lost and one without changes'
+    " follows"
+)
+def _(context, removed):
+    assert removed in {
+        r.group for r in context.replica_table.list_replicas("s")
+    }
+    heartbeat = make_update(1, [], full=False)
+    context.is_table_requested = context.replica_table.apply_update(
+        heartbeat, 1.0
+    )
 
 
-@then('the whole table is asked for, and after it only "{left}" is left')
-def _(context, left):
-    assert context.asks
-    assert not context.known.apply_update(
-        make_update(1, [left], full=True), 1.1
+@then('the full table is requested, and after it only "{remaining}" remains')
+def _(context, remaining):
+    assert context.is_table_requested
+    assert not context.replica_table.apply_update(
+        make_update(1, [remaining], full=True), 1.1
     )
-    assert [r.group for r in context.known.list_replicas("s")] == [left]
+    assert [r.group for r in context.replica_table.list_replicas("s")] == [
+        remaining
+    ]
