--- a/src/hickorylead/claims/claim_holder.py
+++ b/src/hickorylead/claims/claim_holder.py
@@ -1,7 +1,8 @@
-"""A holder of claims: remembers which submission of a key may run.
+"""A claim holder: stores which submission of an idempotency key may run.
 
-One holder in each zone is asked about a key, and a majority of zones must
-grant it. Nothing is kept on disk. Wall-clock times are Unix seconds.
+The claim on a key is requested from one holder in each zone, and a majority of
+zones must grant it. Nothing is stored on disk. Wall-clock times are Unix
+seconds.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 from hickorylead.claims import messages
 
-MEMORY_S = 900.0
+RETENTION_S = 900.0
 MAX_SKEW_S = 300.0
-# Both bounds keep a holder within its share of 64 MB; see docs/CAPACITY.md.
+# Both limits keep a holder within its share of 64 MB; see docs/CAPACITY.md.
 MAX_CLAIMS = 20_000
-MAX_KEPT_BYTES = 2 * 1024 * 1024
+MAX_BODY_BYTES = 2 * 1024 * 1024
 
 
 @attrs.define
@@ -27,7 +28,7 @@
         owner: Submission that holds it.
         fingerprint: Hash over its request.
         made_at: Time in the key.
-        answer: How it ended; None while it may be running.
+        answer: Its final response; None while it may be running.
     """
 
     owner: str
@@ -37,7 +38,7 @@
 
 
 class ClaimHolder:
-    """Claims kept by one control process."""
+    """Claims stored by one control process."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         started_at: float,
         max_skew_s: float = MAX_SKEW_S,
     ) -> None:
-        """Makes a holder with no memory.
+        """Creates a holder without any claims.
 
         Args:
             node: Name of this control process.
@@ -55,30 +56,30 @@
         """
         self._node = node
         self._max_skew_s = max_skew_s
-        # What was claimed before a restart is forgotten. Any such key was
-        # made before the restart, give or take the skew of clocks; none of
-        # those is granted, so a forgotten claim is never granted twice.
-        self._remembers_from = started_at + max_skew_s
+        # A restart loses all claims. Their keys were made before the restart,
+        # within the clock skew, and no key that old is granted, so a lost
+        # claim is never granted twice.
+        self._min_made_at = started_at + max_skew_s
         self._claims: collections.OrderedDict[str, Claim] = (
             collections.OrderedDict()
         )
-        # Keys whose answers have a body, the oldest first.
-        self._bodies: collections.OrderedDict[str, int] = (
+        # Body sizes by key of the responses that have a body, oldest first.
+        self._body_sizes: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._kept_bytes = 0
+        self._body_bytes = 0
 
     def __len__(self) -> int:
-        """Returns how many claims are kept."""
+        """Returns the number of stored claims."""
         return len(self._claims)
 
     def receive(
-        self, message: messages.Message, wall: float
+        self, message: messages.Message, wall_time: float
     ) -> list[messages.Send]:
         """Handles a message of an entry, at a wall-clock time."""
         match message:
             case messages.ClaimRequest(entry):
-                return [messages.Send(entry, self._claim(message, wall))]
+                return [messages.Send(entry, self._claim(message, wall_time))]
             case messages.ClaimRelease(key, owner):
                 claim = self._claims.get(key)
                 if claim and claim.owner == owner and claim.answer is None:
@@ -87,13 +88,13 @@
                 claim = self._claims.get(key)
                 if claim and claim.owner == owner:
                     claim.answer = answer
-                    self._keep_body(key, answer)
+                    self._record_body(key, answer)
             case messages.ClaimReply():
                 pass
         return []
 
     def _claim(
-        self, request: messages.ClaimRequest, wall: float
+        self, request: messages.ClaimRequest, wall_time: float
     ) -> messages.ClaimReply:
         def reply(
             state: str, answer: messages.FinalAnswer | None = None
@@ -115,51 +116,51 @@
             if claim.answer is not None:
                 return reply(messages.FINISHED, claim.answer)
             return reply(messages.TAKEN)
-        if wall - request.made_at > MEMORY_S:
+        if wall_time - request.made_at > RETENTION_S:
             return reply(messages.TOO_OLD)
         if (
-            abs(wall - request.wall) > self._max_skew_s
-            or request.made_at > wall + self._max_skew_s
-            or request.made_at < self._remembers_from
+            abs(wall_time - request.wall) > self._max_skew_s
+            or request.made_at > wall_time + self._max_skew_s
+            or request.made_at < self._min_made_at
         ):
             return reply(messages.ABSTAINED)
-        if not self._make_room(wall):
+        if not self._make_room(wall_time):
             return reply(messages.ABSTAINED)
         self._claims[request.key] = Claim(
             request.owner, request.fingerprint, request.made_at
         )
         return reply(messages.GRANTED)
 
-    def _make_room(self, wall: float) -> bool:
-        """Forgets what no resend can ask for; says whether there is room.
+    def _make_room(self, wall_time: float) -> bool:
+        """Drops expired claims; returns whether there is room for another.
 
-        A key is refused as too old once it is older than the memory by any
-        clock within the skew, so it is kept for that much longer. When all
-        room is taken by younger ones, new claims are refused: to forget one
-        of them could let it run twice.
+        A key is refused as too old once its age exceeds the retention by any
+        clock within the skew, so its claim is stored for that much longer.
+        When younger claims fill the store, new claims are refused: dropping a
+        younger one could let its request run twice.
         """
-        oldest_kept = wall - MEMORY_S - 2 * self._max_skew_s
+        drop_before = wall_time - RETENTION_S - 2 * self._max_skew_s
         while self._claims:
             key, claim = next(iter(self._claims.items()))
-            if claim.made_at >= oldest_kept:
+            if claim.made_at >= drop_before:
                 break
             del self._claims[key]
-            self._kept_bytes -= self._bodies.pop(key, 0)
+            self._body_bytes -= self._body_sizes.pop(key, 0)
         return len(self._claims) < MAX_CLAIMS
 
-    def _keep_body(self, key: str, answer: messages.FinalAnswer) -> None:
-        """Counts the body of an answer; the oldest ones give way.
+    def _record_body(self, key: str, answer: messages.FinalAnswer) -> None:
+        """Records the body size of a response; drops the oldest bodies.
 
-        Without its body an answer still says that the request ran, which is
-        what keeps it from running twice.
+        A response without its body still shows that the request ran, which
+        prevents a second run.
         """
-        self._kept_bytes -= self._bodies.pop(key, 0)
+        self._body_bytes -= self._body_sizes.pop(key, 0)
         if answer.body:
-            self._bodies[key] = len(answer.body)
-            self._kept_bytes += len(answer.body)
-        while self._kept_bytes > MAX_KEPT_BYTES:
-            oldest, size = self._bodies.popitem(last=False)
-            self._kept_bytes -= size
+            self._body_sizes[key] = len(answer.body)
+            self._body_bytes += len(answer.body)
+        while self._body_bytes > MAX_BODY_BYTES:
+            oldest, size = self._body_sizes.popitem(last=False)
+            self._body_bytes -= size
             claim = self._claims[oldest]
             if claim.answer is not None:
                 claim.answer = attrs.evolve(
--- a/src/hickorylead/claims/claimant.py
+++ b/src/hickorylead/claims/claimant.py
@@ -1,8 +1,9 @@
-"""The entry's side of a claim: ask one holder a zone until a majority grants.
+"""The entry's side of a claim: requests it from one holder in each zone.
 
-Holders are asked one after another in the order that the key gives, the same
-for every entry. So of several entries that claim one key at the same time,
-the one that gets the first holder wins, instead of each getting one.
+Requests go to one holder after another until a majority has granted the claim.
+The order follows from the key and is the same for every entry: if several
+entries claim one key at the same time, the one that gets the first holder
+wins, instead of each getting one.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-# A holder that does not answer within this is passed over.
+# A holder that does not reply within this time is skipped.
 HOLDER_TIMEOUT_S = 0.25
 
 ClaimResult = Literal[
@@ -28,7 +29,7 @@
 def choose_holders(
     key: str, controls: Mapping[str, Sequence[str]]
 ) -> list[str]:
-    """Returns the holders of a key, one a zone, in the order of asking.
+    """Returns the holders of a key, one per zone, in the order of requests.
 
     Args:
         key: The claimed key.
@@ -43,41 +44,41 @@
 
 @attrs.define
 class Claimant:
-    """One submission's way to its claim.
+    """One submission's attempt to get its claim.
 
     Attributes:
-        request: What is asked of each holder.
-        holders: Who is asked, in order.
-        result: How it stands.
-        answer: The first submission's answer, if it is known.
-        asked_at: When the present holder was asked.
+        request: The request sent to each holder.
+        holders: The holders, in the order of requests.
+        result: The result so far.
+        answer: The first submission's response, if it is known.
+        requested_at: When the request was sent to the current holder.
     """
 
     request: messages.ClaimRequest
     holders: list[str]
     result: ClaimResult = "waiting"
     answer: messages.FinalAnswer | None = None
-    asked_at: float = 0.0
-    _place: int = -1
+    requested_at: float = 0.0
+    _position: int = -1
     _granted: list[str] = attrs.field(factory=list)
     _too_old: int = 0
 
     def start(self, now: float) -> list[messages.Send]:
-        """Asks the first holder."""
-        return self._ask_next(now)
+        """Sends the request to the first holder."""
+        return self._request_next(now)
 
     def tick(self, now: float) -> list[messages.Send]:
-        """Passes over a holder that does not answer."""
+        """Skips a holder that does not reply in time."""
         if self.result != "waiting":
             return []
-        if now - self.asked_at < HOLDER_TIMEOUT_S:
+        if now - self.requested_at < HOLDER_TIMEOUT_S:
             return []
-        return self._ask_next(now)
+        return self._request_next(now)
 
     def receive(
         self, reply: messages.ClaimReply, now: float
     ) -> list[messages.Send]:
-        """Takes a holder's reply, also one that comes after its time."""
+        """Handles a holder's reply, even one that arrives after the timeout."""
         if self.result != "waiting" or reply.holder not in self.holders:
             return []
         match reply.state:
@@ -89,39 +90,39 @@
                     return []
             case messages.FINISHED:
                 self.answer = reply.answer
-                return self._give_up("finished")
+                return self._fail("finished")
             case messages.TAKEN:
-                return self._give_up("taken")
+                return self._fail("taken")
             case messages.MISMATCH:
-                return self._give_up("mismatch")
+                return self._fail("mismatch")
             case messages.TOO_OLD:
                 self._too_old += 1
-        if reply.holder != self.holders[self._place]:
+        if reply.holder != self.holders[self._position]:
             return []
-        return self._ask_next(now)
+        return self._request_next(now)
 
     def release(self) -> list[messages.Send]:
-        """Gives the claim back; only if the request has not run."""
+        """Releases the claim; only if the request has not run."""
         release = messages.ClaimRelease(self.request.key, self.request.owner)
-        asked = self.holders[: self._place + 1]
-        return [messages.Send(holder, release) for holder in asked]
+        requested = self.holders[: self._position + 1]
+        return [messages.Send(holder, release) for holder in requested]
 
     def finish(self, answer: messages.FinalAnswer) -> list[messages.Send]:
-        """Tells every holder how the request ended."""
+        """Sends the final response to every holder that got the request."""
         finish = messages.ClaimFinish(
             self.request.key, self.request.owner, answer
         )
-        asked = self.holders[: self._place + 1]
-        return [messages.Send(holder, finish) for holder in asked]
-
-    def _ask_next(self, now: float) -> list[messages.Send]:
-        self._place += 1
-        if self._place == len(self.holders):
-            self._place -= 1
-            return self._give_up("too_old" if self._too_old else "none")
-        self.asked_at = now
-        return [messages.Send(self.holders[self._place], self.request)]
-
-    def _give_up(self, result: ClaimResult) -> list[messages.Send]:
+        requested = self.holders[: self._position + 1]
+        return [messages.Send(holder, finish) for holder in requested]
+
+    def _request_next(self, now: float) -> list[messages.Send]:
+        self._position += 1
+        if self._position == len(self.holders):
+            self._position -= 1
+            return self._fail("too_old" if self._too_old else "none")
+        self.requested_at = now
+        return [messages.Send(self.holders[self._position], self.request)]
+
+    def _fail(self, result: ClaimResult) -> list[messages.Send]:
         self.result = result
         return self.release()
--- a/src/hickorylead/claims/idempotency_keys.py
+++ b/src/hickorylead/claims/idempotency_keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys that carry the time at which they were made.
+"""Idempotency keys that contain the time of their creation.
 
-A key is a ULID or a UUID of version 7. Because its time is in the key, a
-holder of claims can tell whether it could have forgotten the key, and refuses
-instead of guessing. (Ordering records by an id that carries its time is from
-the OK Log design, "Ingest segments".)
+A key is a ULID or a UUID of version 7. From the time in the key, a claim holder
+determines whether it could have lost the claim on it, and refuses such a key
+instead of guessing. (Ordering records by an id that contains a time is from the
+OK Log design, "Ingest segments".)
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 @attrs.frozen
 class IdempotencyKey:
-    """A checked idempotency key.
+    """A valid idempotency key.
 
     Attributes:
-        text: The key as the caller gave it, in canonical form.
-        made_at: When it was made, in Unix seconds.
+        text: The key from the caller, in canonical form.
+        made_at: When it was created, in Unix seconds.
     """
 
     text: str
@@ -32,7 +32,7 @@
 
 
 def parse_key(text: str) -> result.Result[IdempotencyKey, str]:
-    """Returns the key in a header value, or what is wrong with it."""
+    """Returns the key in a header value, or why it is invalid."""
     bare = text.strip().strip('"')
     if len(bare) == _ULID_LENGTH:
         return _parse_ulid(bare.upper())
--- a/src/hickorylead/claims/messages.py
+++ b/src/hickorylead/claims/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the holders of claims."""
+"""Messages between entries and claim holders."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class FinalAnswer:
-    """How a claimed request ended, kept for resends.
+    """The final response to a claimed request, stored for resends.
 
     Attributes:
         verdict: Value of the verdict.
-        status: HTTP status; 0 if none came.
-        content_type: Of the body.
-        body: The body, if it is short enough to be kept.
-        complete: Whether the body is the whole one.
+        status: HTTP status; 0 if there was no response.
+        content_type: Content type of the body.
+        body: The body, if it is short enough to be stored.
+        complete: Whether the body is complete.
     """
 
     verdict: str = verdict.Verdict.MAY_HAVE_RUN.value
@@ -39,15 +39,15 @@
 
 @attrs.frozen
 class ClaimRequest:
-    """Asks a holder for the claim on a key.
+    """Requests the claim on a key from a holder.
 
     Attributes:
-        entry: Entry that asks.
-        key: Service, workspace and idempotency key in one.
+        entry: Entry that sends the request.
+        key: Service, workspace and idempotency key combined.
         owner: Request id of this submission.
-        fingerprint: Hash over the request; one key is for one request.
+        fingerprint: Hash over the request; a key is valid for one request.
         made_at: Time in the key, in Unix seconds.
-        wall: Present time of the entry, in Unix seconds.
+        wall: Current time of the entry, in Unix seconds.
     """
 
     entry: str
@@ -60,14 +60,15 @@
 
 @attrs.frozen
 class ClaimReply:
-    """Answers a claim.
+    """Reply to a claim request.
 
     Attributes:
-        holder: Control process that answers.
+        holder: Control process that replies.
         key: The key.
-        owner: The submission that asked.
+        owner: The submission that requested the claim.
         state: One of the constants of this module.
-        answer: How the submission that holds the claim ended, if it did.
+        answer: Final response of the submission that holds the claim, if it
+            has ended.
     """
 
     holder: str
@@ -79,7 +80,7 @@
 
 @attrs.frozen
 class ClaimRelease:
-    """Gives a claim back: the request has certainly not run."""
+    """Releases a claim: the request has certainly not run."""
 
     key: str
     owner: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class ClaimFinish:
-    """Tells a holder how the claimed request ended."""
+    """Reports the final response to a claimed request to a holder."""
 
     key: str
     owner: str
--- a/src/hickorylead/consensus/__init__.py
+++ b/src/hickorylead/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log that orders changes of the configuration."""
+"""The replicated log of configuration changes."""
--- a/src/hickorylead/consensus/log.py
+++ b/src/hickorylead/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of a voter in memory, above its snapshot."""
+"""The in-memory log of a voter, after its snapshot."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Entries by index, starting right after a snapshot."""
 
     def __init__(self) -> None:
-        """Makes an empty log with an empty snapshot."""
+        """Creates an empty log with an empty snapshot."""
         self.snapshot = EMPTY
         self._entries: list[messages.LogEntry] = []
 
@@ -32,7 +32,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def __len__(self) -> int:
-        """Returns how many entries stand above the snapshot."""
+        """Returns the number of entries after the snapshot."""
         return len(self._entries)
 
     def get_term(self, index: int) -> int | None:
@@ -43,18 +43,18 @@
         return entry.term if entry else None
 
     def get_entry(self, index: int) -> messages.LogEntry | None:
-        """Returns the entry at an index, if it is above the snapshot."""
-        place = index - self.snapshot.index - 1
-        if 0 <= place < len(self._entries):
-            return self._entries[place]
+        """Returns the entry at an index, if it is after the snapshot."""
+        position = index - self.snapshot.index - 1
+        if 0 <= position < len(self._entries):
+            return self._entries[position]
         return None
 
     def list_from(
         self, index: int, limit: int
     ) -> tuple[messages.LogEntry, ...]:
         """Returns up to `limit` entries from an index on."""
-        place = max(0, index - self.snapshot.index - 1)
-        return tuple(self._entries[place : place + limit])
+        position = max(0, index - self.snapshot.index - 1)
+        return tuple(self._entries[position : position + limit])
 
     def append(self, entries: Iterable[messages.LogEntry]) -> None:
         """Adds entries that follow the last one."""
@@ -70,7 +70,7 @@
         del self._entries[max(0, index - self.snapshot.index - 1) :]
 
     def install(self, snapshot: messages.Snapshot) -> None:
-        """Replaces everything up to the snapshot's index by it."""
+        """Replaces everything up to the snapshot's index with the snapshot."""
         if self.get_term(snapshot.index) == snapshot.term:
             kept = self._entries[snapshot.index - self.snapshot.index :]
         else:
@@ -79,11 +79,11 @@
         self._entries = kept
 
     def find_voters(self) -> tuple[str, ...]:
-        """Returns the members that vote, by the newest entry that says so.
+        """Returns the set of voters in the newest entry that contains one.
 
-        A set of voters counts from when it is appended, committed or not: a
-        leader that waited for the commit could count a majority of the old
-        set after the new one had already chosen another leader.
+        A set of voters is in force as soon as it is appended, committed or
+        not: a leader that waited for the commit could count a majority of the
+        old set after the new set has already elected another leader.
         """
         for entry in reversed(self._entries):
             match entry.change.operation:
--- a/src/hickorylead/consensus/messages.py
+++ b/src/hickorylead/consensus/messages.py
@@ -1,8 +1,8 @@
-"""Messages between voters, and the records they keep.
+"""Messages between voters, and their journal records.
 
 A member is one incarnation of a voter, written `node#incarnation`. A voter
-that lost its disk comes back as another member: it cannot vote under the old
-one, so it cannot take back what the old one acknowledged.
+that lost its disk returns as another member: it cannot vote as the old one,
+so it cannot revoke what the old one acknowledged.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @attrs.frozen
 class Snapshot:
-    """All that applying the log up to an index has given.
+    """The state after applying the log up to an index.
 
     Attributes:
         index: Index of the last entry applied.
         term: Term of that entry.
         voters: Members that vote, as of that entry.
         configuration: The document.
-        outcomes: Answers remembered for resends, oldest first.
+        outcomes: Outcomes stored for resends, oldest first.
     """
 
     index: int
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class HardState:
-    """What a voter must not forget: its term and its vote."""
+    """State that a voter must keep on disk: its cluster, term and vote."""
 
     cluster: str
     term: int
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class VoteRequest:
-    """Asks for a vote; with `trial` it only asks whether one would be given."""
+    """Requests a vote; with `trial`, only whether it would be granted."""
 
     cluster: str
     recipient: str
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class VoteReply:
-    """Answers a vote request."""
+    """Reply to a vote request."""
 
     voter: str
     term: int
@@ -79,7 +79,7 @@
     """Entries for a member, or none as a heartbeat.
 
     Attributes:
-        sent_at: The leader's time when it sent this; the answer repeats it.
+        sent_at: The leader's clock when it sent this; the reply repeats it.
     """
 
     cluster: str
@@ -95,14 +95,14 @@
 
 @attrs.frozen
 class AppendReply:
-    """Answers an append or a snapshot.
+    """Reply to an append or a snapshot.
 
     Attributes:
-        member: Who answers.
+        member: The member that replies.
         term: Its term.
-        matched: True if the log now agrees up to `index`.
+        matched: Whether its log now agrees with the leader's up to `index`.
         index: Last index agreed on, or where the leader should try next.
-        sent_at: Time of the request that is answered, by the leader's clock.
+        sent_at: Time of the request, by the leader's clock.
     """
 
     member: str
@@ -114,7 +114,7 @@
 
 @attrs.frozen
 class SnapshotRequest:
-    """A whole snapshot, for a member too far behind for entries."""
+    """A complete snapshot, for a member too far behind for entries."""
 
     cluster: str
     recipient: str
@@ -126,7 +126,7 @@
 
 @attrs.frozen
 class JoinRequest:
-    """A voter whose incarnation is no member asks to become one."""
+    """Request of a voter whose incarnation is not a member to become one."""
 
     member: str
 
@@ -143,7 +143,7 @@
 
 @attrs.frozen
 class TruncateLog:
-    """Journal record: entries from this index on are void."""
+    """Journal record: entries from this index on were removed."""
 
     index: int
 
@@ -189,17 +189,17 @@
 
 @attrs.frozen
 class Answer:
-    """Effect: a change has its final answer."""
+    """Effect: the outcome of a change is final."""
 
     outcome: changes.Outcome
 
 
 @attrs.frozen
 class Abandon:
-    """Effect: this voter can no longer say how a change ends.
+    """Effect: this voter can no longer determine the outcome of a change.
 
     Attributes:
-        change_id: The change that was appended but not seen committed.
+        change_id: The change, which was appended but not yet committed here.
     """
 
     change_id: str
--- a/src/hickorylead/consensus/machine.py
+++ b/src/hickorylead/consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""What committed changes amount to: the configuration, and their answers."""
+"""The replicated state machine: the configuration and change outcomes."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from hickorylead.configuration import changes, model
 from hickorylead.consensus import log as log_module, messages
 
-SNAPSHOT_EVERY = 256
-REMEMBERED_OUTCOMES = 8192
-# Whole configurations in the log before a snapshot replaces them. A packed one
-# has some 10 KB, so this is about 200 changes, and the log, held in memory and
-# on disk, stays within a few MB of the 128 MB of the smallest disks.
+SNAPSHOT_INTERVAL_ENTRIES = 256
+MAX_OUTCOMES = 8192
+# Bytes of complete configurations in the log before a snapshot replaces them.
+# An encoded configuration has some 10 KB, so this is about 200 changes, and the
+# log, held in memory and on disk, uses a few MB of the 128 MB of the smallest
+# disks.
 MAX_LOG_BYTES = 2 * 1024 * 1024
 
 
-class Machine:
+class StateMachine:
     """The state that all voters derive from the same entries."""
 
     def __init__(self) -> None:
-        """Makes the state before the first entry."""
+        """Creates the state before the first entry."""
         self.configuration = model.Configuration()
         self.applied = 0
         self._outcomes: collections.OrderedDict[str, changes.Outcome] = (
@@ -28,11 +29,11 @@
         self._log_bytes = 0
 
     def find_outcome(self, change_id: str) -> changes.Outcome | None:
-        """Returns the answer that a change got; None if it is not known."""
+        """Returns the outcome of a change; None if it is not known."""
         return self._outcomes.get(change_id)
 
     def load(self, snapshot: messages.Snapshot) -> None:
-        """Takes the state of a snapshot."""
+        """Loads the state of a snapshot."""
         self.applied = snapshot.index
         self.configuration = snapshot.configuration
         self._outcomes = collections.OrderedDict(
@@ -40,7 +41,7 @@
         )
 
     def apply(self, entry: messages.LogEntry) -> list[messages.Effect]:
-        """Applies the next committed entry; returns the answer to it."""
+        """Applies the next committed entry and returns its outcome."""
         self.applied = entry.index
         change = entry.change
         if isinstance(change.operation, changes.NoChange | changes.SetVoters):
@@ -51,28 +52,29 @@
                 self.configuration, change
             )
             if isinstance(change.operation, changes.ReplaceWhole):
-                # A resend is answered by its version, not by its id.
+                # A resend is recognised by its version, not by its id.
                 self._log_bytes += len(change.operation.content)
                 return [messages.Answer(outcome)]
             self._outcomes[change.change_id] = outcome
-            # An answer that was forgotten is no danger: the resend names an
-            # old version, so it loses instead of taking effect twice.
-            while len(self._outcomes) > REMEMBERED_OUTCOMES:
+            # Dropping the oldest outcomes is safe: a resend expects an old
+            # version, so it is rejected instead of taking effect twice.
+            while len(self._outcomes) > MAX_OUTCOMES:
                 self._outcomes.popitem(last=False)
         return [messages.Answer(outcome)]
 
     def is_snapshot_due(self, log: log_module.Log) -> bool:
-        """Says whether a snapshot should replace the entries of a log."""
+        """Returns whether a snapshot should replace the entries of a log."""
         return (
-            len(log) >= 2 * SNAPSHOT_EVERY or self._log_bytes >= MAX_LOG_BYTES
+            len(log) >= 2 * SNAPSHOT_INTERVAL_ENTRIES
+            or self._log_bytes >= MAX_LOG_BYTES
         )
 
-    def note_snapshot(self) -> None:
-        """Takes that a snapshot has replaced the entries of the log."""
+    def record_snapshot(self) -> None:
+        """Records that a snapshot has replaced the entries of the log."""
         self._log_bytes = 0
 
     def make_snapshot(self, log: log_module.Log) -> messages.Snapshot:
-        """Returns the state with what the log says of the voters."""
+        """Returns a snapshot of the state with the voters at that index."""
         term = log.get_term(self.applied)
         assert term is not None, "the last applied entry is known"
         voters = log.snapshot.voters
--- a/src/hickorylead/consensus/voter.py
+++ b/src/hickorylead/consensus/voter.py
@@ -1,8 +1,8 @@
 """One voter of the configuration log, as a reducer.
 
 A leader is elected by a majority of the voters and appends changes; a change
-is committed once a majority has synced it, and only then answered. Times are
-seconds of a monotonic clock, given with each call.
+is committed once a majority has synced it, and its outcome is sent only then.
+Times are seconds of a monotonic clock, passed to each method.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from hickorylead.configuration import changes, model
 from hickorylead.consensus import (
     log as log_module,
-    machine as machine_module,
     messages,
+    state_machine as state_machine_module,
 )
 
 if TYPE_CHECKING:
@@ -30,25 +30,28 @@
 
 @attrs.frozen
 class VoterOptions:
-    """How fast voters notice that one of them is gone.
+    """Timeouts after which voters react to a lost voter or leader.
 
     Attributes:
-        heartbeat_s: Pause between two heartbeats of a leader, in seconds.
-        election_min_s: Shortest silence after which a voter wants to lead,
-            and longest that a leader goes on without a majority, in seconds.
-        election_max_s: Longest such silence, in seconds.
-        first_election_max_s: Longest silence of the others after which a voter
-            that has just started wants to lead, in seconds; 0 if it waits
-            as long as always. After all voters were killed nobody leads, and
-            a trial vote keeps it from deposing a leader that there is.
-        replace_after_s: Silence after which a voter gives way to a newcomer
-            of its zone, in seconds; 0 if none ever does.
-        min_voters: Voters that are never gone below by that.
-        rejoin_after_s: Silence after which a voter asks to join again, in
-            seconds. It may have been removed while it was frozen, and the
-            entry that says so does not reach it any more: nobody tells it
-            anything, and it would ask for votes in vain for ever. A leader
-            passes over the request of one that is still a voter.
+        heartbeat_s: Interval between two heartbeats of a leader, in seconds.
+        election_min_s: Shortest time without a leader after which a voter
+            starts an election, and longest time that a leader continues
+            without a majority, in seconds.
+        election_max_s: Longest time without a leader after which a voter
+            starts an election, in seconds.
+        first_election_max_s: Longest election timeout of a voter that has just
+            started, in seconds; 0 for the usual timeout. There is no leader
+            after all voters were killed; if there is one, the trial vote
+            keeps the new voter from deposing it.
+        replace_after_s: Time without contact after which a voter is removed if
+            another voter of its zone is reachable, in seconds; 0 if voters are
+            never removed for this reason.
+        min_voters: Smallest number of voters that such removals leave.
+        rejoin_after_s: Time without a leader after which a voter requests to
+            join again, in seconds. It may have been removed while it was
+            frozen. The log entry that removed it is not sent to it, so without
+            this it would request votes in vain for ever. A leader ignores the
+            request of a member that is still a voter.
     """
 
     heartbeat_s: float = 0.5
@@ -65,15 +68,22 @@
 
 @attrs.define
 class Progress:
-    """What a leader knows about one other member."""
+    """Replication state that a leader keeps for one other member.
+
+    Attributes:
+        next_index: Index of the next entry to send.
+        match_index: Last index at which the logs are known to agree.
+        last_contact_at: When the latest request that the member replied to
+            was sent, or when the leader started to track the member.
+    """
 
     next_index: int
     match_index: int = 0
-    heard_at: float = 0.0
+    last_contact_at: float = 0.0
 
 
 class Voter:
-    """State of one voter; every method returns effects in order."""
+    """State of one voter; methods return effects in the order to run them."""
 
     def __init__(
         self,
@@ -85,108 +95,115 @@
         now: float,
         options: VoterOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Makes a voter that knows nothing yet.
+        """Creates a voter with an empty log.
 
         Args:
             node: Name of this control process.
             peers: Names of the other control processes, members or not.
-            incarnation: Name of the data folder's present life.
-            rng: Source of the spread of election timeouts.
+            incarnation: Name of the data folder's present incarnation.
+            rng: Source of the jitter of election timeouts.
             now: Present time.
-            options: How fast a lost voter is noticed.
+            options: Timeouts for elections and for lost voters.
         """
-        self._tuning = options
+        self._options = options
         self.member = f"{node}#{incarnation}"
         self.role: Role = "follower"
         self.leader = ""
-        # Whether all that the leader had committed is known here; after a
-        # start it is not, until a leader was heard.
+        # Whether this voter has everything that the leader had committed;
+        # false after a start until the first append of a leader arrives.
         self.is_caught_up = False
         self.log = log_module.Log()
         self.commit = 0
-        self._machine = machine_module.Machine()
-        self._hard = messages.HardState(cluster="", term=0)
+        self._state_machine = state_machine_module.StateMachine()
+        self._hard_state = messages.HardState(cluster="", term=0)
         self._peers = peers
         self._rng = rng
         self._votes: set[str] = set()
         self._trial = False
         self._progress: dict[str, Progress] = {}
         self._pending: dict[int, str] = {}
-        self._heard_leader_at = now
-        self._deadline = now
+        self._last_leader_contact_at = now
+        self._election_deadline = now
         self._next_heartbeat = now
         self._next_join = now
-        self._reset_deadline(now)
+        self._reset_election_deadline(now)
         if options.first_election_max_s:
             longest_s = options.first_election_max_s
-            self._deadline = now + rng.uniform(longest_s / 4, longest_s)
+            self._election_deadline = now + rng.uniform(
+                longest_s / 4, longest_s
+            )
 
     @property
     def term(self) -> int:
-        """The present term."""
-        return self._hard.term
+        """The current term."""
+        return self._hard_state.term
 
     @property
     def cluster(self) -> str:
         """Id of the cluster; empty until this voter belongs to one."""
-        return self._hard.cluster
+        return self._hard_state.cluster
 
     @property
     def configuration(self) -> model.Configuration:
-        """What the committed changes amount to."""
-        return self._machine.configuration
+        """The configuration after all committed changes."""
+        return self._state_machine.configuration
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The members that vote, as this voter knows them."""
+        """The members that vote, according to the log of this voter."""
         return self.log.find_voters()
 
     def set_peers(self, peers: tuple[str, ...]) -> None:
-        """Takes the other control processes that are known now."""
+        """Sets the other control processes that are known now."""
         self._peers = peers
 
     def restore(self, records: Iterable[messages.Record]) -> None:
-        """Replays the journal; to be called once, before anything else."""
+        """Replays the journal; must be called once, before any other method."""
         for record in records:
             if isinstance(record, messages.HardState):
-                self._hard = record
+                self._hard_state = record
             self.log.replay(record)
         self._load_snapshot()
 
     def export_records(self) -> list[messages.Record]:
-        """Returns the records that amount to all this voter must keep."""
+        """Returns records that restore the complete state of this voter."""
         rest = self.log.list_from(self.log.snapshot.index + 1, len(self.log))
         records: list[messages.Record] = [
-            self._hard,
+            self._hard_state,
             messages.InstallSnapshot(self.log.snapshot),
         ]
         return [*records, messages.AppendLog(rest)] if rest else records
 
     def bootstrap(self, cluster: str, voters: tuple[str, ...]) -> list:
-        """Starts a cluster; an answer of no effects means there is one."""
+        """Starts a cluster; returns no effects if there is one already."""
         if self.cluster:
             return []
-        self._deadline = self._heard_leader_at
-        # The first entry tells the others who votes; kept in a snapshot of
-        # this voter alone, they could elect nobody after its death.
+        self._election_deadline = self._last_leader_contact_at
+        # The first entry replicates the set of voters; if it were only in a
+        # snapshot of this voter, the others could elect no leader after this
+        # voter is lost.
         change = changes.Change("", -1, changes.SetVoters(voters))
         entry = messages.LogEntry(1, 0, change)
-        return [*self._set_hard(cluster=cluster), *self._append([entry])]
+        return [
+            *self._update_hard_state(cluster=cluster),
+            *self._append([entry]),
+        ]
 
     def has_leader(self, now: float) -> bool:
-        """Says whether a leader with a majority was heard of lately."""
+        """Returns whether a leader with a majority was recently in contact."""
         if self.role == "leader":
             return self._has_majority(now)
         return (
             self.leader != ""
-            and now - self._heard_leader_at < self._tuning.election_max_s
+            and now - self._last_leader_contact_at
+            < self._options.election_max_s
         )
 
     def is_ready_leader(self, now: float) -> bool:
-        """Says whether this voter leads and knows all that is committed.
+        """Returns whether this voter leads and has applied all commits.
 
-        A new leader holds every committed entry, but only an entry of its own
-        term shows it which ones they are.
+        A new leader holds every committed entry, but it can determine which
+        entries those are only once an entry of its own term is committed.
         """
         return (
             self.role == "leader"
@@ -194,40 +211,41 @@
             and self.log.get_term(self.commit) == self.term
         )
 
-    def confirms_read(self, asked_at: float, now: float) -> bool:
-        """Says whether a read asked for at a time may be answered now.
+    def is_read_confirmed(self, requested_at: float, now: float) -> bool:
+        """Returns whether a read requested at a time may be answered now.
 
-        A leader that another one has replaced may not know it yet, and its
-        answer would be old. Once a majority has answered what was sent after
-        the read came, nobody else can have been leader before it came.
+        A leader may have been replaced without having received any message
+        about it, and its response would be stale. Once a majority has replied
+        to messages that were sent after the read arrived, no other leader can
+        have been elected before it arrived.
         """
-        heard = {
+        reached = {
             member
             for member, progress in self._progress.items()
-            if progress.heard_at >= asked_at
+            if progress.last_contact_at >= requested_at
         }
         return self.is_ready_leader(now) and self._is_majority(
-            heard | {self.member}
+            reached | {self.member}
         )
 
-    def ask_followers(self, now: float) -> list[messages.Effect]:
-        """Sends a heartbeat at once, so that a read is confirmed soon."""
+    def send_heartbeats(self, now: float) -> list[messages.Effect]:
+        """Sends heartbeats at once, so that a read is confirmed soon."""
         return self._replicate(now) if self.role == "leader" else []
 
     def tick(self, now: float) -> list[messages.Effect]:
-        """Lets time pass; to be called several times a second."""
+        """Handles the passing of time; to be called several times a second."""
         if self.role == "leader":
             return self._tick_leader(now)
         if not (self.cluster and self.member in self.voters):
-            return self._ask_to_join(now)
+            return self._request_join(now)
         effects: list[messages.Effect] = []
-        if now >= self._deadline:
+        if now >= self._election_deadline:
             effects += self._start_election(now)
-        if now - self._heard_leader_at > self._tuning.rejoin_after_s:
-            effects += self._ask_to_join(now)
+        if now - self._last_leader_contact_at > self._options.rejoin_after_s:
+            effects += self._request_join(now)
         return effects
 
-    def _ask_to_join(self, now: float) -> list[messages.Effect]:
+    def _request_join(self, now: float) -> list[messages.Effect]:
         if now < self._next_join:
             return []
         self._next_join = now + JOIN_PERIOD_S
@@ -237,8 +255,8 @@
     def propose(
         self, change: changes.Change, now: float
     ) -> list[messages.Effect]:
-        """Appends a change; only a leader with a majority may be asked."""
-        known = self._machine.find_outcome(change.change_id)
+        """Appends a change; only for a leader with a majority."""
+        known = self._state_machine.find_outcome(change.change_id)
         if known is not None:
             return [messages.Answer(known)]
         if change.change_id in self._pending.values():
@@ -250,7 +268,7 @@
     def receive(
         self, message: messages.Message, now: float
     ) -> list[messages.Effect]:
-        """Handles a message of another voter."""
+        """Handles a message from another voter."""
         match message:
             case messages.VoteRequest():
                 return self._receive_vote_request(message, now)
@@ -268,17 +286,18 @@
     # Elections.
 
     def _start_election(self, now: float) -> list[messages.Effect]:
-        # A voter that was cut off would come back with a high term and depose
-        # a working leader. A trial vote, which changes nobody's term, is
-        # refused while a leader is heard, so it never gets that far.
-        self._reset_deadline(now)
+        # Without a trial vote (pre-vote), a voter that was partitioned off
+        # would return with a high term and depose a working leader. A trial
+        # vote changes no term and is refused by voters that have a leader, so
+        # the candidate does not raise its term.
+        self._reset_election_deadline(now)
         self.role = "candidate"
         self.leader = ""
         self._trial = True
         self._votes = {self.member}
-        return self._ask_votes(self.term + 1) or self._count_votes(now)
+        return self._request_votes(self.term + 1) or self._count_votes(now)
 
-    def _ask_votes(self, term: int) -> list[messages.Effect]:
+    def _request_votes(self, term: int) -> list[messages.Effect]:
         return [
             messages.Send(
                 messages.get_node(voter),
@@ -302,10 +321,12 @@
         if self._trial:
             self._trial = False
             self._votes = {self.member}
-            effects = self._set_hard(term=self.term + 1, voted_for=self.member)
+            effects = self._update_hard_state(
+                term=self.term + 1, voted_for=self.member
+            )
             return [
                 *effects,
-                *self._ask_votes(self.term),
+                *self._request_votes(self.term),
                 *self._count_votes(now),
             ]
         return self._become_leader(now)
@@ -335,11 +356,11 @@
             granted = (
                 up_to_date
                 and request.term == self.term
-                and self._hard.voted_for in ("", request.candidate)
+                and self._hard_state.voted_for in ("", request.candidate)
             )
             if granted:
-                effects += self._set_hard(voted_for=request.candidate)
-                self._reset_deadline(now)
+                effects += self._update_hard_state(voted_for=request.candidate)
+                self._reset_election_deadline(now)
         reply = messages.VoteReply(
             self.member, self.term, granted, request.trial
         )
@@ -365,12 +386,13 @@
         self.role = "leader"
         self.leader = self.member
         self._progress = {
-            voter: Progress(self.log.last_index + 1, heard_at=now)
+            voter: Progress(self.log.last_index + 1, last_contact_at=now)
             for voter in self.voters
             if voter != self.member
         }
-        # Entries of earlier terms count as committed only below an entry of
-        # this term: a majority that holds them could still be overruled.
+        # Entries of earlier terms are committed only by an entry of this term
+        # after them: even if a majority holds them, a later leader could
+        # still overwrite them.
         no_change = changes.Change("", -1, changes.NoChange())
         entry = messages.LogEntry(self.log.last_index + 1, self.term, no_change)
         return [*self._append([entry]), *self._replicate(now)]
@@ -378,7 +400,7 @@
     def _step_down(self, term: int, now: float) -> list[messages.Effect]:
         effects: list[messages.Effect] = []
         if term > self.term:
-            effects += self._set_hard(term=term, voted_for="")
+            effects += self._update_hard_state(term=term, voted_for="")
         if self.role == "leader":
             effects += [
                 messages.Abandon(change_id)
@@ -386,48 +408,49 @@
                 if change_id
             ]
             self._pending.clear()
-            self._reset_deadline(now)
+            self._reset_election_deadline(now)
         self.role = "follower"
         self.leader = ""
         return effects
 
-    # The leader's side of replication.
+    # Replication, leader side.
 
     def _tick_leader(self, now: float) -> list[messages.Effect]:
-        # A leader that is cut off silently still believes that it leads. Its
-        # callers would wait for ever, and its reads would be old. It stops
-        # once it has not heard a majority for the shortest election timeout,
-        # before anyone else can have been elected.
+        # A leader that is partitioned off without an error stays in its role.
+        # Its callers would wait for ever, and its reads would be stale. It
+        # steps down once it has had no contact with a majority for the shortest
+        # election timeout, before another leader can have been elected.
         if not self._has_majority(now):
             return self._step_down(self.term, now)
-        effects = self._remove_replaced(now)
+        effects = self._remove_unreachable_voter(now)
         if now >= self._next_heartbeat:
             effects += self._replicate(now)
         return effects
 
-    def _remove_replaced(self, now: float) -> list[messages.Effect]:
-        """Removes a voter that a newcomer of its zone stands in for.
+    def _remove_unreachable_voter(self, now: float) -> list[messages.Effect]:
+        """Removes a lost voter if another voter of its zone is reachable.
 
-        A VM that is gone for good would count against every majority to come.
-        If it was only cut off it asks to join again.
+        A VM that is gone for good would count against every later majority. A
+        voter that was only partitioned off requests to join again.
         """
-        silence_s = self._tuning.replace_after_s
-        if not silence_s or len(self.voters) <= self._tuning.min_voters:
+        timeout_s = self._options.replace_after_s
+        if not timeout_s or len(self.voters) <= self._options.min_voters:
             return []
         if self._is_changing_voters():
             return []
-        heard = {
-            member: progress.heard_at
+        last_contact_at = {
+            member: progress.last_contact_at
             for member, progress in self._progress.items()
         }
-        heard[self.member] = now
+        last_contact_at[self.member] = now
         for voter in self.voters:
-            if now - heard.get(voter, now) <= silence_s:
+            if now - last_contact_at.get(voter, now) <= timeout_s:
                 continue
             zone = voter.partition("/")[0]
             if any(
                 other.partition("/")[0] == zone
-                and now - heard.get(other, 0.0) <= self._tuning.election_min_s
+                and now - last_contact_at.get(other, 0.0)
+                <= self._options.election_min_s
                 for other in self.voters
             ):
                 rest = [v for v in self.voters if v != voter]
@@ -436,15 +459,15 @@
         return []
 
     def _has_majority(self, now: float) -> bool:
-        heard = {
+        reached = {
             member
             for member, progress in self._progress.items()
-            if now - progress.heard_at < self._tuning.election_min_s
+            if now - progress.last_contact_at < self._options.election_min_s
         }
-        return self._is_majority(heard | {self.member})
+        return self._is_majority(reached | {self.member})
 
     def _replicate(self, now: float) -> list[messages.Effect]:
-        self._next_heartbeat = now + self._tuning.heartbeat_s
+        self._next_heartbeat = now + self._options.heartbeat_s
         effects = self._advance_commit(now)
         for member in sorted(self._progress):
             effects += self._send_entries(member, now)
@@ -456,7 +479,7 @@
         term = self.log.get_term(previous)
         node = messages.get_node(member)
         if term is None:
-            snapshot = self._machine.make_snapshot(self.log)
+            snapshot = self._state_machine.make_snapshot(self.log)
             return [
                 messages.Send(
                     node,
@@ -498,10 +521,10 @@
         progress = self._progress.get(reply.member)
         if self.role != "leader" or reply.term != self.term or not progress:
             return []
-        # Counted from when the request left: after a freeze a leader would
-        # take answers that had waited for it as a sign of the present, and
-        # go on believing that it leads after another one was elected.
-        progress.heard_at = max(progress.heard_at, reply.sent_at)
+        # Counted from when the request was sent: after a freeze, a leader
+        # would otherwise count replies that had waited in its buffers as
+        # recent contact, and stay leader after another one was elected.
+        progress.last_contact_at = max(progress.last_contact_at, reply.sent_at)
         if not reply.matched:
             progress.next_index = max(
                 1, min(progress.next_index - 1, reply.index + 1)
@@ -520,12 +543,12 @@
         for index in range(self.log.last_index, self.commit, -1):
             if self.log.get_term(index) != self.term:
                 break
-            holders = {
+            replicated = {
                 member
                 for member, progress in self._progress.items()
                 if progress.match_index >= index
             }
-            if self._is_majority(holders | {self.member}):
+            if self._is_majority(replicated | {self.member}):
                 return self._commit_to(index, now)
         return []
 
@@ -537,16 +560,17 @@
         if self._is_changing_voters():
             return []
         node = messages.get_node(member)
-        lost = [v for v in self.voters if messages.get_node(v) == node]
-        if lost:
-            # The old incarnation goes first: two sets that differ by one
-            # member always share a majority, two that swap one do not.
-            remaining = [v for v in self.voters if v not in lost]
-            self._progress.pop(lost[0], None)
+        previous = [v for v in self.voters if messages.get_node(v) == node]
+        if previous:
+            # The previous incarnation is removed first: majorities of two
+            # sets that differ by one member always overlap, but majorities
+            # of two sets in which one member is swapped need not.
+            remaining = [v for v in self.voters if v not in previous]
+            self._progress.pop(previous[0], None)
             return self._propose_voters(remaining, now)
         if member not in self._progress:
             self._progress[member] = Progress(
-                self.log.last_index + 1, heard_at=now
+                self.log.last_index + 1, last_contact_at=now
             )
         return self._send_entries(member, now)
 
@@ -568,7 +592,7 @@
 
     def _is_changing_voters(self) -> bool:
         # Until an entry of this term is committed, a change of voters that
-        # an earlier leader began could still be in some log.
+        # an earlier leader started could still be in some log.
         if self.log.get_term(self.commit) != self.term:
             return True
         rest = self.log.list_from(self.commit + 1, len(self.log))
@@ -577,17 +601,17 @@
             for entry in rest
         )
 
-    # The follower's side of replication.
+    # Replication, follower side.
 
-    def _follow(
+    def _follow_leader(
         self, cluster: str, leader: str, term: int, now: float
     ) -> list[messages.Effect]:
         effects = self._join_cluster(cluster)
         if term > self.term or self.role != "follower":
             effects += self._step_down(term, now)
         self.leader = leader
-        self._heard_leader_at = now
-        self._reset_deadline(now)
+        self._last_leader_contact_at = now
+        self._reset_election_deadline(now)
         return effects
 
     def _receive_append(
@@ -601,12 +625,13 @@
         if request.term < self.term:
             stale = messages.AppendReply(self.member, self.term, False, 0)
             return [messages.Send(node, stale)]
-        effects = self._follow(
+        effects = self._follow_leader(
             request.cluster, request.leader, request.term, now
         )
         known = self.log.get_term(request.previous_index)
         if request.previous_index < self.log.snapshot.index:
-            # All of it up to the snapshot is committed, so it agrees.
+            # Everything up to the snapshot is committed, so the logs agree
+            # there.
             known = request.previous_term
         if known != request.previous_term:
             hint = min(self.log.last_index, request.previous_index - 1)
@@ -627,7 +652,7 @@
         self, entries: tuple[messages.LogEntry, ...]
     ) -> list[messages.Effect]:
         effects: list[messages.Effect] = []
-        for place, entry in enumerate(entries):
+        for position, entry in enumerate(entries):
             if entry.index <= self.log.snapshot.index:
                 continue
             known = self.log.get_term(entry.index)
@@ -638,7 +663,7 @@
                 effects.append(
                     messages.Persist(messages.TruncateLog(entry.index))
                 )
-            return [*effects, *self._append(entries[place:])]
+            return [*effects, *self._append(entries[position:])]
         return effects
 
     def _receive_snapshot(
@@ -650,13 +675,13 @@
             return []
         if request.term < self.term:
             return []
-        effects = self._follow(
+        effects = self._follow_leader(
             request.cluster, request.leader, request.term, now
         )
         snapshot = request.snapshot
         if snapshot.index > self.commit:
             self.log.install(snapshot)
-            self._machine.note_snapshot()
+            self._state_machine.record_snapshot()
             effects.append(messages.Persist(messages.InstallSnapshot(snapshot)))
             self._load_snapshot()
             effects.append(messages.Apply(self.configuration))
@@ -670,7 +695,7 @@
         node = messages.get_node(request.leader)
         return [*effects, messages.Send(node, reply)]
 
-    # What all roles share.
+    # Shared by all roles.
 
     def _append(
         self, entries: Iterable[messages.LogEntry]
@@ -685,17 +710,17 @@
         self.commit = index
         effects: list[messages.Effect] = []
         before = self.configuration.version
-        while self._machine.applied < self.commit:
-            entry = self.log.get_entry(self._machine.applied + 1)
+        while self._state_machine.applied < self.commit:
+            entry = self.log.get_entry(self._state_machine.applied + 1)
             assert entry is not None, "a committed entry is in the log"
             self._pending.pop(entry.index, None)
-            effects += self._machine.apply(entry)
+            effects += self._state_machine.apply(entry)
         if self.configuration.version != before:
             effects.append(messages.Apply(self.configuration))
         if self.role == "leader" and self.member not in self.voters:
             effects += self._step_down(self.term, now)
-        if self._machine.is_snapshot_due(self.log):
-            snapshot = self._machine.make_snapshot(self.log)
+        if self._state_machine.is_snapshot_due(self.log):
+            snapshot = self._state_machine.make_snapshot(self.log)
             self.log.install(snapshot)
             effects.append(messages.Persist(messages.InstallSnapshot(snapshot)))
         return effects
@@ -703,7 +728,7 @@
     def _load_snapshot(self) -> None:
         snapshot = self.log.snapshot
         self.commit = snapshot.index
-        self._machine.load(snapshot)
+        self._state_machine.load(snapshot)
 
     def _accepts_cluster(self, cluster: str) -> bool:
         return cluster != "" and self.cluster in ("", cluster)
@@ -711,28 +736,32 @@
     def _join_cluster(self, cluster: str) -> list[messages.Effect]:
         if self.cluster:
             return []
-        return self._set_hard(cluster=cluster)
+        return self._update_hard_state(cluster=cluster)
 
-    def _set_hard(
+    def _update_hard_state(
         self,
         *,
         cluster: str | None = None,
         term: int | None = None,
         voted_for: str | None = None,
     ) -> list[messages.Effect]:
-        old = self._hard
-        self._hard = messages.HardState(
+        old = self._hard_state
+        self._hard_state = messages.HardState(
             cluster=old.cluster if cluster is None else cluster,
             term=old.term if term is None else term,
             voted_for=old.voted_for if voted_for is None else voted_for,
         )
-        return [] if old == self._hard else [messages.Persist(self._hard)]
+        return (
+            []
+            if old == self._hard_state
+            else [messages.Persist(self._hard_state)]
+        )
 
     def _is_majority(self, members: set[str]) -> bool:
         voters = set(self.voters)
         return 2 * len(members & voters) > len(voters)
 
-    def _reset_deadline(self, now: float) -> None:
-        self._deadline = now + self._rng.uniform(
-            self._tuning.election_min_s, self._tuning.election_max_s
+    def _reset_election_deadline(self, now: float) -> None:
+        self._election_deadline = now + self._rng.uniform(
+            self._options.election_min_s, self._options.election_max_s
         )
--- a/src/hickorylead/lease/__init__.py
+++ b/src/hickorylead/lease/__init__.py
@@ -1,1 +1,1 @@
-"""The lease that picks one placement process for each zone."""
+"""The lease that selects one placement process for each zone."""
--- a/src/hickorylead/lease/messages.py
+++ b/src/hickorylead/lease/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the lease among the control processes of one zone."""
+"""Lease messages between the control processes of one zone."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class LeaseRequest:
-    """Asks a grantor for the lease, or to renew it.
+    """Requests the lease, or its renewal, from a grantor.
 
     Attributes:
-        candidate: Control process that asks.
-        number: Fencing number it would hold.
-        round: Counts requests of this candidate; the reply repeats it.
+        candidate: Control process that sends the request.
+        number: Fencing number that it would hold.
+        round: Number of the candidate's request; the reply repeats it.
     """
 
     candidate: str
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class LeaseReply:
-    """Answers a lease request.
+    """Reply to a lease request.
 
     Attributes:
-        grantor: Control process that answers.
-        granted: Whether it promised the lease for one term.
-        highest: Highest fencing number it has heard of.
+        grantor: Control process that replies.
+        granted: Whether it granted the lease for one term.
+        highest: Highest fencing number it has observed.
         round: Round of the request.
     """
 
--- a/src/hickorylead/lease/zone_lease.py
+++ b/src/hickorylead/lease/zone_lease.py
@@ -1,6 +1,6 @@
-"""The zone lease: one control process of a zone gives orders at a time.
+"""The zone lease: one control process of a zone issues orders at a time.
 
-Every control process is a grantor and a candidate. Nothing is kept on disk.
+Every control process is a grantor and a candidate. Nothing is stored on disk.
 Times are seconds of a monotonic clock; only its rate matters, not its value.
 """
 
@@ -14,22 +14,24 @@
     import random
 
 TERM_S = 3.0
-# The holder stops this much before its grantors forget it, so that clocks
-# whose rates differ by up to a tenth never give two holders at once.
-HOLDER_SHARE = 0.9
-RENEW_S = 0.75
-ROUND_S = 0.25
+# Fraction of the term after which the holder stops, so that it stops before its
+# grants expire, and there are never two holders at once if the rates of the
+# clocks differ by up to a tenth.
+HOLDER_TERM_FRACTION = 0.9
+RENEW_INTERVAL_S = 0.75
+ROUND_TIMEOUT_S = 0.25
 RETRY_MIN_S = 0.4
 RETRY_MAX_S = 1.6
 LONGEST_ORDER_S = 2.0
-# Numbers rise in steps of this; what is below a step is drawn at random. After
-# a restart of the whole zone nobody remembers which numbers were used, and two
-# holders with one number could not be told apart.
+# Fencing numbers rise in steps of this; the part below a step is random. After
+# all control processes of the zone have restarted, none of them has the numbers
+# that were used, and two holders with the same number would be
+# indistinguishable.
 NUMBER_STEP = 1 << 20
 
 
 class ZoneLease:
-    """One control process's part in the lease of its zone."""
+    """One control process's grantor and candidate state for its zone."""
 
     def __init__(
         self,
@@ -39,32 +41,34 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Makes the part of a process that has just started.
+        """Creates the state of a process that has just started.
 
         Args:
             node: Name of this process.
-            nodes: Names of all control processes of the zone, this one too.
-            rng: Source of the spread of retries.
+            nodes: Names of all control processes of the zone, including this
+                one.
+            rng: Source of retry jitter and of the random part of fencing
+                numbers.
             now: Present time.
         """
         self._node = node
         self._nodes = tuple(sorted(nodes))
         self._rng = rng
-        # A grantor that restarted has forgotten its promise. Until that has
-        # run out it must not make another one, or two processes would hold
-        # the lease; a whole term of silence is enough, as no promise is
-        # longer.
-        self._silent_until = now + TERM_S
-        self._promised_to = ""
-        self._promised_until = now
+        # A grantor that restarted has lost its record of the lease that it
+        # granted. Until that grant has expired it must not make another one,
+        # or two processes would hold the lease. One full term without grants
+        # is enough, as no grant is longer.
+        self._abstains_until = now + TERM_S
+        self._granted_to = ""
+        self._granted_until = now
         self._highest = 0
         self._number = 0
         self._held_until = now
         self._held_since = now
         self._round = 0
-        self._round_sent = now
-        self._granted: set[str] = set()
-        self._next_try = now + TERM_S + self._spread()
+        self._round_sent_at = now
+        self._grantors: set[str] = set()
+        self._next_attempt_at = now + TERM_S + self._draw_retry_delay()
 
     @property
     def fencing_number(self) -> int:
@@ -72,14 +76,14 @@
         return self._number
 
     def is_held(self, now: float) -> bool:
-        """Says whether this process holds the lease now."""
+        """Returns whether this process holds the lease now."""
         return now < self._held_until
 
     def may_issue_orders(self, now: float) -> bool:
-        """Says whether orders may be given now.
+        """Returns whether orders may be issued now.
 
-        Some backend servers ignore fencing numbers. An order that the holder
-        before gave just before its lease ended can still be on the way, so a
+        Some backend servers ignore fencing numbers. An order that the previous
+        holder issued just before its lease ended can still be in flight, so a
         new holder first waits for as long as an order can take.
         """
         return (
@@ -89,33 +93,33 @@
         )
 
     def observe_fencing_number(self, number: int) -> None:
-        """Takes note of a fencing number that a server or an entry has seen.
+        """Records a fencing number reported by a server or an entry.
 
-        After a restart of the whole zone the grantors know no number; the
-        others still do. A holder with a lower one stops giving orders until
-        it has a number above.
+        After all control processes of the zone have restarted, the grantors
+        have no number, while servers and entries still do. A holder with a
+        lower number stops issuing orders until it has a higher one.
         """
         self._highest = max(self._highest, number)
 
     def tick(self, now: float) -> list[messages.Send]:
-        """Lets time pass; renews the lease or tries to get it."""
+        """Handles the passing of time: renews or requests the lease."""
         self._end_failed_round(now)
-        if now < self._next_try or now < self._silent_until:
+        if now < self._next_attempt_at or now < self._abstains_until:
             return []
         if not self.is_held(now) or self._number < self._highest:
-            if not self.is_held(now) and not self._may_promise(self._node, now):
-                self._next_try = now + self._spread()
+            if not self.is_held(now) and not self._may_grant(self._node, now):
+                self._next_attempt_at = now + self._draw_retry_delay()
                 return []
             self._number = self._choose_number()
         self._round += 1
-        self._round_sent = now
-        self._granted = set()
-        self._next_try = now + (
-            RENEW_S if self.is_held(now) else self._spread()
+        self._round_sent_at = now
+        self._grantors = set()
+        self._next_attempt_at = now + (
+            RENEW_INTERVAL_S if self.is_held(now) else self._draw_retry_delay()
         )
         request = messages.LeaseRequest(self._node, self._number, self._round)
-        reply = self._grant(request, now)
-        self._count_reply(reply, now)
+        reply = self._handle_request(request, now)
+        self._handle_reply(reply, now)
         return [
             messages.Send(node, request)
             for node in self._nodes
@@ -125,72 +129,74 @@
     def receive(
         self, message: messages.Message, now: float
     ) -> list[messages.Send]:
-        """Handles a message of another control process of the zone."""
+        """Handles a message from another control process of the zone."""
         match message:
             case messages.LeaseRequest(candidate):
-                if now < self._silent_until:
+                if now < self._abstains_until:
                     return []
-                return [messages.Send(candidate, self._grant(message, now))]
+                return [
+                    messages.Send(candidate, self._handle_request(message, now))
+                ]
             case messages.LeaseReply():
-                self._count_reply(message, now)
+                self._handle_reply(message, now)
                 return []
 
     def _end_failed_round(self, now: float) -> None:
-        """Takes back the promise to itself when no majority followed it.
+        """Revokes the grant to itself if no majority granted the lease.
 
-        Two candidates that each promised the lease to themselves would refuse
-        each other for as long as both go on trying. Between its rounds a
-        candidate is free, so the other one's next round succeeds.
+        Two candidates that each granted the lease to themselves would refuse
+        each other for as long as both keep trying. Between its rounds a
+        candidate has no grant, so the next round of the other one succeeds.
         """
         if (
-            self._promised_to == self._node
+            self._granted_to == self._node
             and not self.is_held(now)
-            and now - self._round_sent >= ROUND_S
+            and now - self._round_sent_at >= ROUND_TIMEOUT_S
         ):
-            # Replies to that round may still come; they count no more.
+            # Replies to that round may still arrive; they are ignored.
             self._round += 1
-            self._promised_to = ""
-            self._promised_until = now
+            self._granted_to = ""
+            self._granted_until = now
 
-    def _may_promise(self, candidate: str, now: float) -> bool:
-        return self._promised_to == candidate or now >= self._promised_until
+    def _may_grant(self, candidate: str, now: float) -> bool:
+        return self._granted_to == candidate or now >= self._granted_until
 
-    def _grant(
+    def _handle_request(
         self, request: messages.LeaseRequest, now: float
     ) -> messages.LeaseReply:
         renews = (
-            request.candidate == self._promised_to
+            request.candidate == self._granted_to
             and request.number == self._highest
         )
-        granted = self._may_promise(request.candidate, now) and (
+        granted = self._may_grant(request.candidate, now) and (
             renews or request.number > self._highest
         )
-        if request.candidate == self._node and now < self._silent_until:
+        if request.candidate == self._node and now < self._abstains_until:
             granted = False
         if granted:
-            self._promised_to = request.candidate
-            self._promised_until = now + TERM_S
+            self._granted_to = request.candidate
+            self._granted_until = now + TERM_S
             self._highest = max(self._highest, request.number)
         return messages.LeaseReply(
             self._node, granted, self._highest, request.round
         )
 
-    def _count_reply(self, reply: messages.LeaseReply, now: float) -> None:
+    def _handle_reply(self, reply: messages.LeaseReply, now: float) -> None:
         self.observe_fencing_number(reply.highest)
         if reply.round != self._round or not reply.granted:
             return
-        self._granted.add(reply.grantor)
-        if 2 * len(self._granted) <= len(self._nodes):
+        self._grantors.add(reply.grantor)
+        if 2 * len(self._grantors) <= len(self._nodes):
             return
         if not self.is_held(now):
             self._held_since = now
-        # Counted from when the request left: grantors counted from when it
-        # came, which is later, so the holder always stops first.
-        self._held_until = self._round_sent + TERM_S * HOLDER_SHARE
+        # Counted from when the request was sent: grantors count from when it
+        # arrived, which is later, so the holder always stops first.
+        self._held_until = self._round_sent_at + TERM_S * HOLDER_TERM_FRACTION
 
     def _choose_number(self) -> int:
         step = self._highest // NUMBER_STEP + 1
         return step * NUMBER_STEP + self._rng.randrange(NUMBER_STEP)
 
-    def _spread(self) -> float:
+    def _draw_retry_delay(self) -> float:
         return self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
--- a/src/hickorylead/membership/__init__.py
+++ b/src/hickorylead/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend servers are present, by their own announcements."""
+"""Tracks which backend servers are present, from their announcements."""
--- a/src/hickorylead/membership/announcements.py
+++ b/src/hickorylead/membership/announcements.py
@@ -1,7 +1,8 @@
-"""What a backend server says about itself, as the published interface has it.
+"""Announcements of backend servers, as in the published interface.
 
-A server sends this to one entry of its zone about once a second. What it
-says, not what it was ordered to do, decides whether it may serve.
+A server sends its announcement to one entry of its zone about once a second.
+The announced state, not the orders sent to the server, decides whether it may
+serve.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @attrs.frozen
 class ServerState:
-    """The part of an announcement that seldom changes.
+    """The part of an announcement that rarely changes.
 
     Attributes:
         vm: Name of the backend server's VM, unique in the deployment.
@@ -33,13 +34,14 @@
         service: Service of the group, or of the plain server.
         group: Replica group it belongs to; empty if none.
         generation: Generation of the group's member list.
-        rank: Its place in the group; rank 0 takes requests.
+        rank: Its rank in the group; rank 0 accepts requests.
         size: VMs in the group.
-        weights: Weights in memory, named as `Service.weights` names them.
-        fence: Highest fencing number it has seen.
+        weights: Weights in memory, named as in `Service.weights`.
+        fence: Highest fencing number it has received.
         checks_fence: Whether it refuses orders with a lower number.
-        slots: Requests that it runs at the same time.
-        keepalive_s: Longest pause between two frames of a live stream.
+        slots: Number of requests that it runs at the same time.
+        keepalive_s: Longest gap between two frames of a live stream, in
+            seconds.
     """
 
     vm: str
@@ -63,7 +65,7 @@
 
 @attrs.frozen
 class Load:
-    """The load of a server as it reported it, some time ago.
+    """The load of a server as it last reported it.
 
     Attributes:
         running: Requests in the batch.
@@ -99,7 +101,7 @@
 
 
 def validate_state(state: ServerState) -> list[str]:
-    """Returns what is wrong with an announced state; empty if nothing is."""
+    """Returns the problems of an announced state; empty if it is valid."""
     problems = [
         f"{name} is empty"
         for name in ("vm", "zone", "domain", "address")
--- a/src/hickorylead/membership/messages.py
+++ b/src/hickorylead/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entries tell the control processes who is present."""
+"""Messages that report present servers from entries to control processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class LeaderLoad:
-    """Load of a server that takes requests for its group."""
+    """Load of a server that accepts requests for its group."""
 
     vm: str
     load: announcements.Load
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class Edge:
-    """A server came or changed.
+    """Reports a new server or a changed state.
 
     Attributes:
-        entry: Entry that hears it.
-        state: Its state now.
+        entry: Entry that receives its announcements.
+        state: Its current state.
     """
 
     entry: str
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Gone:
-    """An entry no longer hears a server."""
+    """Reports that an entry no longer receives a server's announcements."""
 
     entry: str
     vm: str
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class Digest:
-    """Periodic sign of life of an entry, with a check of what it told.
+    """Periodic heartbeat of an entry, with a hash over the reported states.
 
     Attributes:
-        entry: Entry that hears the servers.
-        count: Servers it hears.
+        entry: Entry that receives the announcements.
+        count: Number of servers that announce to it.
         check: Hash over the states of all of them.
-        loads: Loads of those that take requests.
-        configuration: Version of the configuration that the entry follows.
+        loads: Loads of those that accept requests.
+        configuration: Version of the configuration that the entry uses.
         fence: Fencing number of the zone's replica table at the entry.
         period_s: Time until the next digest to the same receiver.
     """
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class ResendRequest:
-    """Asks an entry to tell all it hears; the digest did not match."""
+    """Requests all states from an entry whose digest did not match."""
 
 
 Message: TypeAlias = Edge | Gone | Digest | ResendRequest
--- a/src/hickorylead/membership/registry.py
+++ b/src/hickorylead/membership/registry.py
@@ -1,4 +1,4 @@
-"""The control side: who is present in the zone, put together from entries."""
+"""The control side of membership: servers reported by a zone's entries."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     messages,
 )
 
-# An entry that died takes the announcements it held with it. Its servers
-# announce elsewhere within two of their periods; until then they are neither
-# present nor lost, so that nothing is repaired that is not broken.
-ENTRY_SILENCE_PERIODS = 3.5
+# When an entry dies, the announcements that it received are lost. Its servers
+# announce to another entry within two of their periods; until then they are
+# neither present nor lost, so that no working group is repaired.
+ENTRY_TIMEOUT_PERIODS = 3.5
 MOVE_GRACE_S = 4.0
 RESEND_PERIOD_S = 1.0
 CHECK_PERIOD_S = 0.5
@@ -21,13 +21,13 @@
 
 @attrs.define
 class Member:
-    """A server as the control process knows it.
+    """A server as reported to the control process.
 
     Attributes:
-        state: What it last said.
-        entry: The entry that hears it.
-        load: Its load, if it takes requests.
-        missing_since: Since when no entry hears it; None while one does.
+        state: Its last announced state.
+        entry: The entry that receives its announcements.
+        load: Its load, if it accepts requests.
+        missing_since: Since when no entry reports it; None while one does.
     """
 
     state: announcements.ServerState
@@ -38,96 +38,98 @@
 
 @attrs.define
 class EntryRecord:
-    """An entry as the control process knows it.
+    """An entry and the servers that it reports.
 
     Attributes:
-        heard_at: When it was last heard.
+        last_received_at: When its last message arrived.
         period_s: Time between its digests.
-        configuration: Version that it follows.
-        asked_at: When it was last asked to tell all it hears.
-        checks: Hash of the state of each server that it hears.
-        check: All of them joined, kept up with every change: a digest of one
-            entry must not cost a look at every server of the zone.
+        configuration: Version of the configuration that it uses.
+        resend_requested_at: When all its states were last requested.
+        state_hashes: Hash of the state of each server that it reports.
+        combined_hash: All of these hashes combined, updated with every change,
+            so that handling the digest of one entry does not have to visit
+            every server of the zone.
     """
 
-    heard_at: float
+    last_received_at: float
     period_s: float = 1.0
     configuration: int = 0
-    asked_at: float = -1e9
-    checks: dict[str, int] = attrs.field(factory=dict)
-    check: int = 0
+    resend_requested_at: float = -1e9
+    state_hashes: dict[str, int] = attrs.field(factory=dict)
+    combined_hash: int = 0
 
     def add(self, state: announcements.ServerState) -> None:
-        """Notes the state of a server that this entry hears."""
+        """Records the state of a server that this entry reports."""
         self.remove(state.vm)
-        self.checks[state.vm] = announcement_receiver.hash_state(state)
-        self.check ^= self.checks[state.vm]
+        self.state_hashes[state.vm] = announcement_receiver.hash_state(state)
+        self.combined_hash ^= self.state_hashes[state.vm]
 
     def remove(self, vm: str) -> None:
-        """Forgets a server."""
-        self.check ^= self.checks.pop(vm, 0)
+        """Removes a server."""
+        self.combined_hash ^= self.state_hashes.pop(vm, 0)
 
 
 class MembershipRegistry:
-    """Present servers of one zone."""
+    """The present servers and the entries of one zone."""
 
     def __init__(self) -> None:
-        """Makes a registry that knows nobody."""
+        """Creates an empty registry."""
         self.members: dict[str, Member] = {}
         self.entries: dict[str, EntryRecord] = {}
-        # Counts changes of states and presence, so that others can tell
-        # cheaply whether there is anything new.
+        # Counts changes of states and presence, so that callers can detect
+        # changes cheaply.
         self.changes = 0
-        self._unheard: set[str] = set()
+        self._missing: set[str] = set()
         self._next_check = 0.0
 
     def receive(
         self, message: messages.Message, now: float
     ) -> list[messages.Send]:
-        """Handles a report of an entry."""
+        """Handles a message of an entry."""
         match message:
             case messages.Edge(entry, state):
-                self._touch(entry, now)
+                self._record_contact(entry, now)
                 self._update(entry, state)
             case messages.Gone(entry, vm):
-                self._touch(entry, now)
+                self._record_contact(entry, now)
                 member = self.members.get(vm)
                 if member and member.entry == entry:
-                    # Told after the silence was measured: lost right away.
+                    # The entry sends this after its timeout: the server is
+                    # lost at once.
                     self._remove(vm)
             case messages.Digest():
-                return self._check_digest(message, now)
+                return self._handle_digest(message, now)
             case messages.ResendRequest():
                 pass
         return []
 
     def tick(self, now: float) -> None:
-        """Forgets entries and servers that have been silent for too long."""
+        """Removes entries and servers that have timed out."""
         if now < self._next_check:
             return
         self._next_check = now + CHECK_PERIOD_S
         for name, record in list(self.entries.items()):
-            silence_s = ENTRY_SILENCE_PERIODS * record.period_s
-            if now - record.heard_at <= silence_s:
+            timeout_s = ENTRY_TIMEOUT_PERIODS * record.period_s
+            if now - record.last_received_at <= timeout_s:
                 continue
             del self.entries[name]
-            self._mark_unheard(record, now)
-        for vm in sorted(self._unheard):
+            self._mark_missing(record, now)
+        for vm in sorted(self._missing):
             member = self.members.get(vm)
             if member is None or member.missing_since is None:
-                self._unheard.discard(vm)
+                self._missing.discard(vm)
             elif now - member.missing_since > MOVE_GRACE_S:
                 self._remove(vm)
 
-    def _touch(self, entry: str, now: float) -> EntryRecord:
+    def _record_contact(self, entry: str, now: float) -> EntryRecord:
         record = self.entries.setdefault(entry, EntryRecord(now))
-        record.heard_at = now
+        record.last_received_at = now
         return record
 
     def _update(self, entry: str, state: announcements.ServerState) -> None:
         known = self.members.get(state.vm)
         if known and known.state.boot > state.boot:
-            # Held up on the way: the server has restarted since.
+            # The report was delayed: the server has restarted since.
             return
         self._remove(state.vm)
         load = known.load if known else announcements.Load()
@@ -141,35 +143,35 @@
         if record is not None:
             record.remove(vm)
 
-    def _mark_unheard(self, record: EntryRecord, now: float) -> None:
-        for vm in record.checks:
+    def _mark_missing(self, record: EntryRecord, now: float) -> None:
+        for vm in record.state_hashes:
             member = self.members.get(vm)
             if member is not None and member.missing_since is None:
                 member.missing_since = now
-                self._unheard.add(vm)
+                self._missing.add(vm)
                 self.changes += 1
 
-    def _check_digest(
+    def _handle_digest(
         self, digest: messages.Digest, now: float
     ) -> list[messages.Send]:
-        record = self._touch(digest.entry, now)
+        record = self._record_contact(digest.entry, now)
         record.configuration = digest.configuration
         record.period_s = digest.period_s
         for item in digest.loads:
             member = self.members.get(item.vm)
             if member and member.entry == digest.entry:
                 member.load = item.load
-        # A lost edge would leave this view wrong for ever; the digest shows
-        # it within a period, whatever was lost.
-        agrees = len(record.checks) == digest.count and (
-            record.check == digest.check
+        # A lost edge would leave this registry wrong for ever; the digest
+        # reveals that within one period, whatever message was lost.
+        agrees = len(record.state_hashes) == digest.count and (
+            record.combined_hash == digest.check
         )
         if agrees:
-            for vm in record.checks:
+            for vm in record.state_hashes:
                 self.members[vm].missing_since = None
             return []
-        if now - record.asked_at < RESEND_PERIOD_S:
+        if now - record.resend_requested_at < RESEND_PERIOD_S:
             return []
-        record.asked_at = now
-        self._mark_unheard(record, now)
+        record.resend_requested_at = now
+        self._mark_missing(record, now)
         return [messages.Send(digest.entry, messages.ResendRequest())]
--- a/tests/membership/presence.feature
+++ b/tests/membership/presence.feature
@@ -1,17 +1,17 @@
 Feature: Which backend servers are present
 
-  Scenario: An entry that dies takes no server with it
-    The entry that hears a server's announcements dies. The server announces
-    to the next one. Meanwhile it is neither present nor lost, so nothing is
-    repaired and nothing in flight at other entries is cut.
+  Scenario: The servers of an entry that dies are not treated as lost
+    The entry that receives a server's announcements dies, and the server
+    announces to the next one. In the meantime it is neither present nor lost,
+    so no group is repaired and no request in flight at other entries aborted.
     Given a deployment in three zones
-    When the entries of "buda-hall" die and return, one after another
+    When the entries of "buda-hall" are killed and restarted, one after another
     Then no group of "buda-hall" was rebuilt
 
-  Scenario: A server that paused is told from one that is slow
+  Scenario: A server that is paused briefly is not treated as lost
     A server is paused for 2 s and keeps its group. Another one is paused for
-    30 s: its group is repaired without it, and when it wakes up and still
-    claims its place, it is freed.
+    30 s: its group is repaired without it, and when it continues and still
+    announces its old rank, it is freed.
     Given a deployment in three zones
     When a member of "buda-hall" is paused for 2 s
     And 8 s pass
@@ -19,21 +19,23 @@
     When a member of "buda-hall" is paused for 30 s
     Then within 20 s the entries of "buda-hall" may use 2 replicas of their zone
     When 40 s pass
-    Then the paused member belongs to no group of which it is not part
+    Then the paused member is in no group that was rebuilt without it
 
-  Scenario: Lost reports are noticed by the digest
-    Reports of servers that came and went are lost. The digest that each entry
-    sends does not match what the control process knows, so it asks for all.
+  Scenario: The digest reveals lost reports
+    Reports of new and lost servers are dropped by the network. The digest that
+    each entry sends then does not match the states at the control process,
+    which requests all of them again.
     Given a deployment in three zones
     When half of all messages are lost while a domain of "buda-hall" restarts
     And 15 s pass
-    Then the control processes of "buda-hall" know exactly the servers present
+    Then the control processes of "buda-hall" list exactly the servers present
 
-  Scenario: A server that leaves gets no new work
-    A server announces that it leaves while requests run on it. Within 4 s no
-    new work reaches its group, what runs there ends, and then it is free.
+  Scenario: A server that is leaving gets no new requests
+    A server announces that it is leaving while requests run on it. Within 4 s
+    its group gets no new requests, the running ones complete, and then the
+    server is free.
     Given a deployment in three zones
-    When requests run and a server of "buda-hall" announces that it leaves
+    When requests run and a server of "buda-hall" announces that it is leaving
     And 20 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
     And the leaving server is in no group
--- a/tests/placement/repair.feature
+++ b/tests/placement/repair.feature
@@ -52,7 +52,7 @@
     Given a deployment in three zones
     When an operator switches to the preset "maintenance" while requests run
     And 30 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
     And no replica serves and every VM is free
 
   Scenario: A new version replaces the old one without downtime
--- a/tests/requests/requests.feature
+++ b/tests/requests/requests.feature
@@ -6,7 +6,7 @@
     Given a deployment in three zones
     When a member of a group that runs a stream dies
     And 20 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
 
   Scenario: A stream whose connection stalls is joined over a new one
     A network component between entry and server loses the state of a
@@ -15,7 +15,7 @@
     Given a deployment in three zones
     When the connection of a running stream stalls
     And 20 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
     And the request ran on one server only
 
   Scenario: A server freezes for 30 s and then continues
@@ -25,7 +25,7 @@
     Given a deployment in three zones
     When the head of a group that runs a stream freezes for 30 s
     And 60 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
 
   Scenario: Late, duplicate or foreign frames never reach a caller
     A server's frames arrive twice, late from a previous attempt, and once with
@@ -33,7 +33,7 @@
     Given a deployment in three zones
     When a stream gets duplicate, late and foreign frames
     And 20 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
 
   Scenario: A non-idempotent request that may have run is not retried
     The server dies while a work order runs on it. Whether the order completed
@@ -58,7 +58,7 @@
     When an entry with streams in flight is asked to stop
     And a request is sent to the stopping entry
     And 20 s pass
-    Then all requests have their whole answer
+    Then all requests have their complete response
     And the request to the stopping entry was refused as not run
     And the entry has stopped
 
@@ -148,7 +148,7 @@
     When one of the replicas refuses requests with a pause of 3 s, for 10 s
     And 20 s pass
     Then no entry sends it anything between 0.5 and 3 s after a refusal
-    And all requests have their whole answer
+    And all requests have their complete response
 
   Scenario: A request that all servers refuse for long is refused at once
     Given a deployment in three zones
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -1,4 +1,4 @@
-"""Steps about calls that may run at most once."""
+"""Steps about requests that may run at most once."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     context.answers = [send(context, node) for node in context.world.entries]
 
 
-@then("it ran once by the servers' record and one caller has the answer")
+@then("the servers ran it once and one caller has the response")
 def _(context):
     assert context.world.key_runs[KEY] == 1
     verdicts = [a.verdict for a in context.answers]
@@ -58,7 +58,7 @@
     send(context, find_entry(context, zone), key_age_s=age_s)
 
 
-@then("the resend gets the first answer, marked as replayed")
+@then("the resend gets the first response, marked as replayed")
 def _(context):
     final = context.last.final_effect
     assert isinstance(final, events.SendResponse) and final.replayed, final
@@ -66,24 +66,24 @@
     assert context.world.key_runs[KEY] == 1
 
 
-@when("the entry dies while its call runs")
+@when("the entry is killed while its request runs")
 def _(context):
-    world = context.world
-    for server in world.servers.values():
+    simulation = context.world
+    for server in simulation.servers.values():
         server.service_s = 5.0
-    context.node = world.entries[0]
+    context.node = simulation.entries[0]
     send(context, context.node)
-    world.run_until(lambda: world.key_runs[KEY])
-    world.kill(context.node)
+    simulation.run_until(lambda: simulation.key_runs[KEY])
+    simulation.kill(context.node)
 
 
-@when("the entry dies right after its call was answered")
+@when("the entry is killed right after its request was answered")
 def _(context):
-    world = context.world
-    context.node = world.entries[0]
+    simulation = context.world
+    context.node = simulation.entries[0]
     answer = send(context, context.node)
-    world.run_until(lambda: answer.final_effect)
-    world.kill(context.node)
+    simulation.run_until(lambda: answer.final_effect)
+    simulation.kill(context.node)
 
 
 @when("the same key is sent through another entry")
@@ -92,7 +92,7 @@
     send(context, node, key_age_s=context.world.now - context.last.submitted_at)
 
 
-@then("the resend is told that it may have run, and it ran once")
+@then("the resend is refused as may_have_run, and the request ran once")
 def _(context):
     assert context.last.verdict == Verdict.MAY_HAVE_RUN, (
         context.last.final_effect
@@ -118,7 +118,7 @@
     assert context.last.verdict == Verdict(verdict)
 
 
-@then("it may be sent again later")
+@then("the refusal has a retry delay")
 def _(context):
     assert context.last.final_effect.problem.retry_after_s >= 1
     waited_s = context.last.ended_at - context.last.submitted_at
@@ -130,14 +130,14 @@
     send(context, context.world.entries[0], key_age_s=seconds)
 
 
-@when('every control process but those of "{zone}" restarts')
+@when('every control process outside "{zone}" restarts')
 def _(context, zone):
     for node in context.world.controls:
         if nodes.get_zone(node) != zone:
             context.world.start(node)
 
 
-@then("it ran once by the servers' record")
+@then("the servers ran it once")
 def _(context):
     assert context.world.key_runs[KEY] == 1
     assert context.last.verdict != Verdict.NOT_RUN or (
@@ -154,23 +154,23 @@
 
 @when("no plain server can be reached and a key is sent")
 def _(context):
-    world = context.world
-    for vm, server in world.servers.items():
+    simulation = context.world
+    for vm, server in simulation.servers.items():
         if server.is_plain:
-            world.kill_server(vm)
-    context.first = send(context, world.entries[0])
-    world.run(3)
+            simulation.kill_server(vm)
+    context.first = send(context, simulation.entries[0])
+    simulation.run(3)
 
 
 @when("the servers are back and the same key is sent again")
 def _(context):
-    world = context.world
-    for server in world.servers.values():
+    simulation = context.world
+    for server in simulation.servers.values():
         server.alive = True
-    world.run(8)
-    age_s = world.now - context.first.submitted_at
-    context.second = send(context, world.entries[4], key_age_s=age_s)
-    world.run(3)
+    simulation.run(8)
+    age_s = simulation.now - context.first.submitted_at
+    context.second = send(context, simulation.entries[4], key_age_s=age_s)
+    simulation.run(3)
 
 
 @then("the first was refused as not run and the second ran")
@@ -186,18 +186,20 @@
 
 @then('the key "{key}" is {read}')
 def _(_, key, read):
-    taken = isinstance(idempotency_keys.parse_key(key), result.Success)
-    assert taken == (read == "taken")
+    is_accepted = isinstance(idempotency_keys.parse_key(key), result.Success)
+    assert is_accepted == (read == "taken")
 
 
-def claim(found, number, owner):
+def request_claim(holder, number, owner):
     request = messages.ClaimRequest(
         "z/v/entry", f"key-{number}", owner, "f", 5000.0, 5000.0
     )
-    return found.receive(request, 5000.0)[0].message
+    return holder.receive(request, 5000.0)[0].message
 
 
-@given("a holder that is given {count:d} claims with answers of {size:d} bytes")
+@given(
+    "a holder that receives {count:d} claims with responses of {size:d} bytes"
+)
 def _(context, count, size):
     context.holder = claim_holder.ClaimHolder(
         node="z/v/control", started_at=0.0
@@ -206,24 +208,25 @@
     context.granted = []
     for number in range(count):
         owner = f"owner-{number}"
-        reply = claim(context.holder, number, owner)
+        reply = request_claim(context.holder, number, owner)
         if reply.state == messages.GRANTED:
             context.granted.append(number)
             finish = messages.ClaimFinish(f"key-{number}", owner, answer)
             context.holder.receive(finish, 5000.0)
 
 
-@then("it keeps {count:d} claims and at most {mib:d} MiB of answers")
+@then("it stores {count:d} claims and at most {mib:d} MiB of responses")
 def _(context, count, mib):
     assert len(context.holder) == count == len(context.granted)
     context.replies = [
-        claim(context.holder, number, "another") for number in context.granted
+        request_claim(context.holder, number, "another")
+        for number in context.granted
     ]
-    kept = sum(len(reply.answer.body) for reply in context.replies)
-    assert 0 < kept <= mib * 1024 * 1024, kept
+    stored_bytes = sum(len(reply.answer.body) for reply in context.replies)
+    assert 0 < stored_bytes <= mib * 1024 * 1024, stored_bytes
 
 
-@then("each claim it granted is still held")
+@then("each claim that it granted is still stored")
 def _(context):
     states = {reply.state for reply in context.replies}
     assert states == {messages.FINISHED}, states
--- a/tests/steps/consensus_steps.py
+++ b/tests/steps/consensus_steps.py
@@ -11,18 +11,18 @@
 SWITCH = changes.SwitchPreset("ordinary")
 
 
-def get_version(world, node):
-    role = world.roles[node]
-    if node in world.entries:
+def get_version(simulation, node):
+    role = simulation.roles[node]
+    if node in simulation.entries:
         return role.configuration.version
     return role.version
 
 
-def follow(world, version, limit_s, skip=()):
-    return world.run_until(
+def wait_for_version(simulation, version, limit_s, skip=()):
+    return simulation.run_until(
         lambda: all(
-            get_version(world, node) >= version
-            for node in world.roles
+            get_version(simulation, node) >= version
+            for node in simulation.roles
             if node not in skip
         ),
         limit_s=limit_s,
@@ -31,22 +31,24 @@
 
 @when("two operators in two zones change the configuration from one version")
 def _(context):
-    world = context.world
-    expected = get_version(world, world.controls[0])
+    simulation = context.world
+    expected = get_version(simulation, simulation.controls[0])
     context.pair = [
         operator_actions.submit(
-            world,
+            simulation,
             changes.DrainVm(f"vm-{node}", True),
             change_id=f"race-{node}",
             node=node,
             expected=expected,
         )
-        for node in (world.entries[0], world.entries[-1])
+        for node in (simulation.entries[0], simulation.entries[-1])
     ]
-    world.run_until(lambda: all(c in world.outcomes for c in context.pair))
+    simulation.run_until(
+        lambda: all(c in simulation.outcomes for c in context.pair)
+    )
 
 
-@then("one change is accepted and the other is told the winning version")
+@then("one change is accepted and the other refused with the winning version")
 def _(context):
     outcomes = [context.world.outcomes[c].outcome for c in context.pair]
     won = [o for o in outcomes if o.accepted]
@@ -58,36 +60,38 @@
 
 @when("a change is accepted and its leader is killed")
 def _(context):
-    world = context.world
-    context.expected = get_version(world, operator_actions.find_leader(world))
+    simulation = context.world
+    context.expected = get_version(
+        simulation, operator_actions.find_leader(simulation)
+    )
     context.version = operator_actions.apply(
-        world, SWITCH, change_id="change-resent"
+        simulation, SWITCH, change_id="change-resent"
     )
-    context.killed = operator_actions.find_leader(world)
-    world.kill(context.killed)
+    context.killed = operator_actions.find_leader(simulation)
+    simulation.kill(context.killed)
 
 
 @when("the same change is sent again through another zone")
 def _(context):
-    world = context.world
+    simulation = context.world
     node = next(
         n
-        for n in world.entries
+        for n in simulation.entries
         if nodes.get_zone(n) != nodes.get_zone(context.killed)
     )
-    del world.outcomes["change-resent"]
-    world.run_until(lambda: operator_actions.find_leader(world))
+    del simulation.outcomes["change-resent"]
+    simulation.run_until(lambda: operator_actions.find_leader(simulation))
     operator_actions.submit(
-        world,
+        simulation,
         SWITCH,
         change_id="change-resent",
         node=node,
         expected=context.expected,
     )
-    world.run_until(lambda: "change-resent" in world.outcomes)
+    simulation.run_until(lambda: "change-resent" in simulation.outcomes)
 
 
-@then("the resend gets the first answer and the version is the same")
+@then("the resend gets the first outcome and the version is unchanged")
 def _(context):
     outcome = context.world.outcomes["change-resent"].outcome
     assert outcome.accepted and outcome.version == context.version, outcome
@@ -97,19 +101,24 @@
 
 @when('an operator in "{zone}" submits a change')
 def _(context, zone):
-    world = context.world
-    context.asked_at = world.now
-    node = next(n for n in world.entries if nodes.get_zone(n) == zone)
+    simulation = context.world
+    context.submitted_at = simulation.now
+    node = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
     operator_actions.submit(
-        world, changes.DrainVm("never", True), change_id="cut-off", node=node
+        simulation,
+        changes.DrainVm("never", True),
+        change_id="cut-off",
+        node=node,
     )
 
 
 @then("the change is refused within {seconds:g} s as certainly not applied")
 def _(context, seconds):
-    world = context.world
-    world.run_until(lambda: "cut-off" in world.outcomes, limit_s=seconds)
-    answer = world.outcomes["cut-off"]
+    simulation = context.world
+    simulation.run_until(
+        lambda: "cut-off" in simulation.outcomes, limit_s=seconds
+    )
+    answer = simulation.outcomes["cut-off"]
     assert answer.outcome is None and not answer.may_apply, answer
 
 
@@ -120,154 +129,162 @@
             assert "never" not in role.configuration.drained, node
 
 
-@when("the leader is cut off from all others")
+@when("the leader is partitioned from all others")
 def _(context):
-    world = context.world
-    context.old = operator_actions.find_leader(world)
-    context.version = get_version(world, context.old)
-    for other in (*world.controls, *world.entries):
+    simulation = context.world
+    context.old = operator_actions.find_leader(simulation)
+    context.version = get_version(simulation, context.old)
+    for other in (*simulation.controls, *simulation.entries):
         if other != context.old:
-            world.partition(context.old, other)
+            simulation.partition(context.old, other)
 
 
-@then("never two processes lead, and a new one leads within {seconds:g} s")
+@then("no two processes lead at once, and a new one leads within {seconds:g} s")
 def _(context, seconds):
-    world = context.world
+    simulation = context.world
 
     def has_new_leader():
         leaders = [
             n
-            for n in world.voters
-            if world.roles[n].voter.is_ready_leader(world.now)
+            for n in simulation.voters
+            if simulation.roles[n].voter.is_ready_leader(simulation.now)
         ]
         assert len(leaders) <= 1, leaders
         return leaders and leaders != [context.old]
 
-    context.took_s = world.run_until(has_new_leader, limit_s=seconds)
+    context.took_s = simulation.run_until(has_new_leader, limit_s=seconds)
 
 
 @then(
-    "a change submitted to the new side is in force within {seconds:g} s"
-    " everywhere else"
+    "a change submitted to the majority side is in force there within"
+    " {seconds:g} s"
 )
 def _(context, seconds):
-    world = context.world
+    simulation = context.world
     node = next(
         n
-        for n in world.entries
+        for n in simulation.entries
         if nodes.get_zone(n) != nodes.get_zone(context.old)
     )
     version = operator_actions.apply(
-        world, SWITCH, node=node, expected=context.version
+        simulation, SWITCH, node=node, expected=context.version
     )
-    follow(world, version, seconds, skip=(context.old,))
+    wait_for_version(simulation, version, seconds, skip=(context.old,))
 
 
-@when("a voter that does not lead is cut off for {seconds:g} s")
+@when("a voter that is not the leader is partitioned for {seconds:g} s")
 def _(context, seconds):
-    world = context.world
-    context.old = operator_actions.find_leader(world)
-    context.term = world.roles[context.old].voter.term
-    cut = next(v for v in world.voters if v != context.old)
-    for other in world.controls:
+    simulation = context.world
+    context.old = operator_actions.find_leader(simulation)
+    context.term = simulation.roles[context.old].voter.term
+    cut = next(v for v in simulation.voters if v != context.old)
+    for other in simulation.controls:
         if other != cut:
-            world.partition(cut, other)
-    world.run(seconds)
-    world.heal()
-    world.run(10)
+            simulation.partition(cut, other)
+    simulation.run(seconds)
+    simulation.heal()
+    simulation.run(10)
 
 
 @then("the leader and its term are as before")
 def _(context):
-    world = context.world
-    assert operator_actions.find_leader(world) == context.old
-    assert world.roles[context.old].voter.term == context.term
+    simulation = context.world
+    assert operator_actions.find_leader(simulation) == context.old
+    assert simulation.roles[context.old].voter.term == context.term
 
 
 @when("each voter loses its disk, one after another")
 def _(context):
-    world = context.world
+    simulation = context.world
     context.version = operator_actions.apply(
-        world, changes.DrainVm("kept", True)
+        simulation, changes.DrainVm("kept", True)
     )
-    for voter in world.voters:
-        world.wipe_disk(voter)
-        world.run(1)
-        world.start(voter)
-        incarnation = f"{voter}#i{world.disk_incarnations[voter]}"
-        world.run_until(
+    for voter in simulation.voters:
+        simulation.wipe_disk(voter)
+        simulation.run(1)
+        simulation.start(voter)
+        incarnation = f"{voter}#i{simulation.disk_incarnations[voter]}"
+        simulation.run_until(
             lambda i=incarnation: (
-                (leader := operator_actions.find_leader(world))
-                and i in world.roles[leader].voter.voters
-                and len(world.roles[leader].voter.voters) == 3
+                (leader := operator_actions.find_leader(simulation))
+                and i in simulation.roles[leader].voter.voters
+                and len(simulation.roles[leader].voter.voters) == 3
             ),
             limit_s=40,
         )
-    assert all(world.disk_incarnations[v] == 1 for v in world.voters)
+    assert all(simulation.disk_incarnations[v] == 1 for v in simulation.voters)
 
 
 @then("every accepted change is still in force")
 def _(context):
-    world = context.world
-    version = operator_actions.apply(world, SWITCH)
+    simulation = context.world
+    version = operator_actions.apply(simulation, SWITCH)
     assert version == context.version + 1
-    follow(world, version, 8)
-    for node in world.entries:
-        assert "kept" in world.roles[node].configuration.drained
+    wait_for_version(simulation, version, 8)
+    for node in simulation.entries:
+        assert "kept" in simulation.roles[node].configuration.drained
 
 
 @when("two voters lose their disks at the same time")
 def _(context):
-    world = context.world
-    context.version = get_version(world, operator_actions.find_leader(world))
-    for voter in world.voters[:2]:
-        world.wipe_disk(voter)
-        world.start(voter)
+    simulation = context.world
+    context.version = get_version(
+        simulation, operator_actions.find_leader(simulation)
+    )
+    for voter in simulation.voters[:2]:
+        simulation.wipe_disk(voter)
+        simulation.start(voter)
 
 
 @then("no process leads and the version in force is as before")
 def _(context):
-    world = context.world
-    assert not operator_actions.find_leader(world)
-    for node in world.entries:
-        assert get_version(world, node) == context.version, node
+    simulation = context.world
+    assert not operator_actions.find_leader(simulation)
+    for node in simulation.entries:
+        assert get_version(simulation, node) == context.version, node
 
 
-@then("the entries go on serving")
+@then("the entries continue to serve requests")
 def _(context):
-    world = context.world
-    answers = [world.submit(node, "assistant") for node in world.entries]
-    world.run(5)
+    simulation = context.world
+    answers = [
+        simulation.submit(node, "assistant") for node in simulation.entries
+    ]
+    simulation.run(5)
     assert all(a.verdict and a.verdict.value == "ran" for a in answers)
 
 
-@when("a voter is away for {count:d} changes")
+@when("a voter is stopped during {count:d} changes")
 def _(context, count):
-    world = context.world
-    leader = operator_actions.find_leader(world)
-    context.away = next(v for v in world.voters if v != leader)
-    world.kill(context.away)
+    simulation = context.world
+    leader = operator_actions.find_leader(simulation)
+    context.away = next(v for v in simulation.voters if v != leader)
+    simulation.kill(context.away)
     node = next(
-        n for n in world.entries if nodes.get_zone(n) == nodes.get_zone(leader)
+        n
+        for n in simulation.entries
+        if nodes.get_zone(n) == nodes.get_zone(leader)
     )
     for number in range(count):
         drain = changes.DrainVm("vm-x", number % 2 == 0)
         context.version = operator_actions.apply(
-            world, drain, node=node, change_id=f"many-{number:04}"
+            simulation, drain, node=node, change_id=f"many-{number:04}"
         )
 
 
-@then("it has them all within {seconds:g} s of its return, by one snapshot")
+@then("it has all of them within {seconds:g} s of its start, from one snapshot")
 def _(context, seconds):
-    world = context.world
-    before = world.sent["SnapshotRequest"]
-    world.start(context.away)
-    role = world.roles[context.away]
-    world.run_until(lambda: role.version == context.version, limit_s=seconds)
-    world.run_until(
+    simulation = context.world
+    before = simulation.sent["SnapshotRequest"]
+    simulation.start(context.away)
+    role = simulation.roles[context.away]
+    simulation.run_until(
+        lambda: role.version == context.version, limit_s=seconds
+    )
+    simulation.run_until(
         lambda: role.voter.commit >= context.version, limit_s=seconds
     )
-    assert world.sent["SnapshotRequest"] - before == 1
+    assert simulation.sent["SnapshotRequest"] - before == 1
 
 
 @when("one message in ten is lost")
@@ -280,47 +297,49 @@
     context.version = operator_actions.apply(context.world, SWITCH)
 
 
-@then("all processes follow it within {seconds:g} s")
+@then("all processes apply it within {seconds:g} s")
 def _(context, seconds):
-    context.took_s = follow(context.world, context.version, seconds)
+    context.took_s = wait_for_version(context.world, context.version, seconds)
 
 
-@when('a change reaches two control processes of "{zone}" before the cut')
+@when('two control processes of "{zone}" get a change before its isolation')
 def _(context, zone):
-    world = context.world
-    own = [n for n in world.controls if nodes.get_zone(n) == zone]
+    simulation = context.world
+    own = [n for n in simulation.controls if nodes.get_zone(n) == zone]
     behind = own[1]
-    for other in (*world.controls, *world.entries):
+    for other in (*simulation.controls, *simulation.entries):
         if other != behind:
-            world.partition(behind, other)
+            simulation.partition(behind, other)
     context.version = operator_actions.apply(
-        world, changes.DrainVm("newer", True), node=world.entries[-1]
+        simulation, changes.DrainVm("newer", True), node=simulation.entries[-1]
     )
-    follow(world, context.version, 8, skip=(behind,))
-    world.heal()
+    wait_for_version(simulation, context.version, 8, skip=(behind,))
+    simulation.heal()
     for node in own:
-        # The others of the zone are gone, or lost what they held.
+        # The zone's other control processes are lost with their state.
         if node not in (behind, own[2]):
-            world.kill(node)
-    world.isolate_zone(zone)
+            simulation.kill(node)
+    simulation.isolate_zone(zone)
     context.zone, context.behind = zone, behind
-    # The one that is behind must not learn the newer version first.
-    world.partition(behind, own[2])
+    # The process that is behind must not receive the newer version first.
+    simulation.partition(behind, own[2])
 
 
 @when('an entry of "{zone}" restarts')
 def _(context, zone):
-    world = context.world
-    context.node = next(n for n in world.entries if nodes.get_zone(n) == zone)
-    world.start(context.node)
+    simulation = context.world
+    context.node = next(
+        n for n in simulation.entries if nodes.get_zone(n) == zone
+    )
+    simulation.start(context.node)
 
 
-@then("it is not ready below the version that was in force")
+@then("it is not ready before it has the version that was in force")
 def _(context):
-    world = context.world
-    role = world.roles[context.node]
+    simulation = context.world
+    role = simulation.roles[context.node]
     for _ in range(200):
-        world.run(0.1)
+        simulation.run(0.1)
         if role.is_ready():
             break
         assert not role.is_ready()
@@ -332,17 +351,17 @@
 
 @when("a change is accepted and every process restarts at once")
 def _(context):
-    world = context.world
+    simulation = context.world
     context.version = operator_actions.apply(
-        world, changes.DrainVm("kept", True)
+        simulation, changes.DrainVm("kept", True)
     )
-    for node in (*world.controls, *world.entries):
-        world.start(node)
+    for node in (*simulation.controls, *simulation.entries):
+        simulation.start(node)
 
 
 @then("the change is in force everywhere within {seconds:g} s")
 def _(context, seconds):
-    follow(context.world, context.version, seconds)
+    wait_for_version(context.world, context.version, seconds)
     for node in context.world.entries:
         assert "kept" in context.world.roles[node].configuration.drained
 
@@ -353,20 +372,20 @@
     context.world.kill(context.killed)
 
 
-@then("a change through its zone is accepted within {seconds:g} s")
+@then("a change submitted in its zone is accepted within {seconds:g} s")
 def _(context, seconds):
-    world = context.world
+    simulation = context.world
     zone = nodes.get_zone(context.killed)
-    node = next(n for n in world.entries if nodes.get_zone(n) == zone)
-    end = world.now + seconds
+    node = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
+    end = simulation.now + seconds
     number = 0
-    while world.now < end:
+    while simulation.now < end:
         number += 1
         change_id = operator_actions.submit(
-            world, SWITCH, change_id=f"again-{number}", node=node
+            simulation, SWITCH, change_id=f"again-{number}", node=node
         )
-        world.run_until(lambda c=change_id: c in world.outcomes)
-        outcome = world.outcomes[change_id].outcome
+        simulation.run_until(lambda c=change_id: c in simulation.outcomes)
+        outcome = simulation.outcomes[change_id].outcome
         if outcome and outcome.accepted:
             return
     raise AssertionError("no change was accepted")
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -902,7 +902,7 @@
     role = world.coordinators[context.victim]
     for other in world.coordinators.values():
         # Two disks may be lost at once: five voters always stay.
-        other.voter._tuning = attrs.evolve(other.voter._tuning, min_voters=5)
+        other.voter._options = attrs.evolve(other.voter._options, min_voters=5)
     world.frozen.add(context.victim)
     for version in range(2, 12):
         acknowledge(world, leader, version)
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -9,14 +9,14 @@
 from hickorylead.roles import nodes
 
 
-def get_holder(world, zone):
-    holders = operator_actions.list_lease_holders(world, zone)
+def get_holder(simulation, zone):
+    holders = operator_actions.list_lease_holders(simulation, zone)
     assert len(holders) == 1, holders
     return holders[0]
 
 
-def get_fence(world, node):
-    return world.roles[node].get_status(world.now).fence
+def get_fence(simulation, node):
+    return simulation.roles[node].get_status(simulation.now).fence
 
 
 @when('the holder of "{zone}" is paused for {seconds:g} s')
@@ -26,32 +26,34 @@
     context.world.pause(context.old, seconds)
 
 
-@then("another one gives orders within {seconds:g} s")
+@then("another process issues orders within {seconds:g} s")
 def _(context, seconds):
-    world = context.world
-    context.took_s = world.run_until(
+    simulation = context.world
+    context.took_s = simulation.run_until(
         lambda: [
             n
-            for n in operator_actions.list_lease_holders(world, context.zone)
+            for n in operator_actions.list_lease_holders(
+                simulation, context.zone
+            )
             if n != context.old
         ],
         limit_s=seconds,
     )
 
 
-@then('one process gives orders in "{zone}"')
+@then('one process issues orders in "{zone}"')
 def _(context, zone):
     get_holder(context.world, zone)
 
 
-@when('two control processes of "{zone}" restart, not its holder')
+@when('two control processes of "{zone}" restart, but not its lease holder')
 def _(context, zone):
-    world = context.world
-    context.holder = get_holder(world, zone)
-    for node in world.controls:
+    simulation = context.world
+    context.holder = get_holder(simulation, zone)
+    for node in simulation.controls:
         if nodes.get_zone(node) == zone and node != context.holder:
-            world.start(node)
-    context.restarted_at = world.now
+            simulation.start(node)
+    context.restarted_at = simulation.now
 
 
 @then(
@@ -59,29 +61,33 @@
     " passed"
 )
 def _(context, zone, seconds):
-    world = context.world
-    while world.now < context.restarted_at + seconds:
-        world.run(0.1)
-        others = set(operator_actions.list_lease_holders(world, zone)) - {
+    simulation = context.world
+    while simulation.now < context.restarted_at + seconds:
+        simulation.run(0.1)
+        others = set(operator_actions.list_lease_holders(simulation, zone)) - {
             context.holder
         }
         assert not others, others
-    world.run(6)
-    get_holder(world, zone)
+    simulation.run(6)
+    get_holder(simulation, zone)
 
 
-@then("within {seconds:g} s one process holds a number above the old one")
+@then(
+    "within {seconds:g} s one process holds a fencing number above the old one"
+)
 def _(context, seconds):
-    world = context.world
-    old = max(s.state.fence for s in world.servers.values())
+    simulation = context.world
+    old = max(s.state.fence for s in simulation.servers.values())
     zone = "buda-hall"
     old = max(
-        s.state.fence for s in world.servers.values() if s.state.zone == zone
+        s.state.fence
+        for s in simulation.servers.values()
+        if s.state.zone == zone
     )
-    world.run_until(
+    simulation.run_until(
         lambda: any(
-            get_fence(world, n) > old
-            for n in operator_actions.list_lease_holders(world, zone)
+            get_fence(simulation, n) > old
+            for n in operator_actions.list_lease_holders(simulation, zone)
         ),
         limit_s=seconds,
     )
@@ -89,15 +95,15 @@
 
 @when('a member of a group of "{zone}" dies')
 def _(context, zone):
-    world = context.world
+    simulation = context.world
     vm = next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.zone == zone and s.state.rank == 1
     )
-    world.kill_server(vm)
+    simulation.kill_server(vm)
     context.dead = vm
-    world.run(6)
+    simulation.run(6)
 
 
 @when('the holder of "{zone}" is killed')
@@ -106,32 +112,33 @@
     context.world.kill(get_holder(context.world, zone))
 
 
-@then('no order was given in "{zone}" since')
+@then('no order has been issued in "{zone}" since')
 def _(context, zone):
     get_holder(context.world, zone)
-    given = [
+    issued = [
         line
         for line in context.world.log[context.order_count :]
         if zone in line
     ]
-    assert not given, given
+    assert not issued, issued
 
 
 @then(
-    "the lease moves within {limit:g} s, for {count:d} different random spreads"
+    "another process gets the lease within {limit:g} s, for {count:d} random"
+    " seeds"
 )
 def _(context, limit, count):
     worst = 0.0
     for seed in range(count):
-        world = simulation_module.Simulation(seed=seed, zones=("a",))
-        world.run_until(
-            lambda w=world: operator_actions.list_lease_holders(w, "a")
+        simulation = simulation_module.Simulation(seed=seed, zones=("a",))
+        simulation.run_until(
+            lambda w=simulation: operator_actions.list_lease_holders(w, "a")
         )
-        world.run(5)
-        old = get_holder(world, "a")
-        world.pause(old, 100)
-        took_s = world.run_until(
-            lambda w=world, o=old: [
+        simulation.run(5)
+        old = get_holder(simulation, "a")
+        simulation.pause(old, 100)
+        took_s = simulation.run_until(
+            lambda w=simulation, o=old: [
                 n for n in operator_actions.list_lease_holders(w, "a") if n != o
             ],
             limit_s=limit,
@@ -140,19 +147,19 @@
     context.took_s = worst
 
 
-@when('a late order of a lost holder takes a free VM of "{zone}"')
+@when('a late order of a lost holder assigns a free VM of "{zone}"')
 def _(context, zone):
-    world = context.world
-    holder = get_holder(world, zone)
+    simulation = context.world
+    holder = get_holder(simulation, zone)
     context.vm = next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.zone == zone and not s.state.group and not s.is_plain
     )
     late = orders.Assign(
         vm=context.vm,
         address=context.vm,
-        fence=get_fence(world, holder),
+        fence=get_fence(simulation, holder),
         group="assistant/late",
         generation=1,
         rank=0,
@@ -160,10 +167,10 @@
         service="assistant",
         weights="lead@1",
     )
-    world.call_later(9, lambda: world._order(holder, late))
-    world.kill(holder)
-    world.run(9.5)
-    assert world.servers[context.vm].state.group == "assistant/late"
+    simulation.call_later(9, lambda: simulation._order(holder, late))
+    simulation.kill(holder)
+    simulation.run(9.5)
+    assert simulation.servers[context.vm].state.group == "assistant/late"
 
 
 @then("that VM is freed within {seconds:g} s and never served")
@@ -176,7 +183,7 @@
     assert not server.runs
 
 
-@when('a server of "{zone}" has seen a higher number than an order carries')
+@when('a server of "{zone}" has a higher fencing number than an order')
 def _(context, zone):
     context.server = next(
         s
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -8,34 +8,34 @@
 from hickorylead.verdict import Verdict
 
 
-def pick_member(world, zone, rank=1):
+def pick_member(simulation, zone, rank=1):
     return next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.zone == zone and s.state.group and s.state.rank == rank
     )
 
 
-@when('the entries of "{zone}" die and return, one after another')
+@when('the entries of "{zone}" are killed and restarted, one after another')
 def _(context, zone):
-    world = context.world
-    context.order_count = len(world.log)
-    for node in world.entries:
+    simulation = context.world
+    context.order_count = len(simulation.log)
+    for node in simulation.entries:
         if nodes.get_zone(node) == zone:
-            world.kill(node)
-            world.run(10)
-            world.start(node)
-            world.run(10)
+            simulation.kill(node)
+            simulation.run(10)
+            simulation.start(node)
+            simulation.run(10)
 
 
 @then('no group of "{zone}" was rebuilt')
 def _(context, zone):
-    given = [
+    issued = [
         line
         for line in context.world.log[context.order_count :]
         if f" {zone}/" in line
     ]
-    assert not given, given
+    assert not issued, issued
 
 
 @when('a member of "{zone}" is paused for {seconds:g} s')
@@ -47,79 +47,81 @@
         context.world.run(6)
 
 
-@then("the paused member belongs to no group of which it is not part")
+@then("the paused member is in no group that was rebuilt without it")
 def _(context):
     state = context.world.servers[context.vm].state
     if state.group:
-        fellows = [
+        group_members = [
             s.state
             for s in context.world.servers.values()
             if s.state.group == state.group
         ]
-        assert len(fellows) == state.size
-        assert {f.generation for f in fellows} == {state.generation}
+        assert len(group_members) == state.size
+        assert {m.generation for m in group_members} == {state.generation}
 
 
 @when('half of all messages are lost while a domain of "{zone}" restarts')
 def _(context, zone):
-    world = context.world
-    world.loss = 0.5
-    for vm, server in world.servers.items():
+    simulation = context.world
+    simulation.loss = 0.5
+    for vm, server in simulation.servers.items():
         if server.state.zone == zone and not server.is_plain:
-            world.kill_server(vm)
-    world.run(6)
-    for vm, server in world.servers.items():
+            simulation.kill_server(vm)
+    simulation.run(6)
+    for vm, server in simulation.servers.items():
         if server.state.zone == zone and not server.alive:
-            world.restart_server(vm)
-    world.run(6)
-    world.loss = 0.0
+            simulation.restart_server(vm)
+    simulation.run(6)
+    simulation.loss = 0.0
 
 
-@then('the control processes of "{zone}" know exactly the servers present')
+@then('the control processes of "{zone}" list exactly the servers present')
 def _(context, zone):
-    world = context.world
+    simulation = context.world
     present = {
         vm
-        for vm, s in world.servers.items()
-        if s.state.zone == zone and s.is_up(world.now)
+        for vm, s in simulation.servers.items()
+        if s.state.zone == zone and s.is_up(simulation.now)
     }
-    for node in world.controls:
+    for node in simulation.controls:
         if nodes.get_zone(node) == zone:
-            status = world.roles[node].get_status(world.now)
+            status = simulation.roles[node].get_status(simulation.now)
             assert status.members == len(present), (node, status.members)
 
 
-@when('requests run and a server of "{zone}" announces that it leaves')
+@when('requests run and a server of "{zone}" announces that it is leaving')
 def _(context, zone):
-    world = context.world
+    simulation = context.world
     context.answers = [
-        world.submit(node, "assistant", max_tokens=100)
-        for node in world.entries
+        simulation.submit(node, "assistant", max_tokens=100)
+        for node in simulation.entries
         for _ in range(3)
     ]
-    world.run(1)
-    context.vm = pick_member(world, zone, rank=0)
-    server = world.servers[context.vm]
+    simulation.run(1)
+    context.vm = pick_member(simulation, zone, rank=0)
+    server = simulation.servers[context.vm]
     assert server.batch.running
     server.member.leave()
-    server.left_at = world.now
+    server.left_at = simulation.now
     for step in range(40):
-        world.call_later(
+        simulation.call_later(
             step * 0.2,
             lambda n=step: context.answers.append(
-                world.submit(world.entries[n % 9], "assistant", max_tokens=20)
+                simulation.submit(
+                    simulation.entries[n % 9], "assistant", max_tokens=20
+                )
             ),
         )
 
 
-@then("all requests have their whole answer")
+@then("all requests have their complete response")
 def _(context):
-    wrong = [
+    incomplete = [
         (a.request.request_id, a.code)
         for a in context.answers
         if a.verdict != Verdict.RAN
     ]
-    assert not wrong, wrong
+    assert not incomplete, incomplete
 
 
 @then("the leaving server is in no group")
--- a/tests/steps/safeguard_steps.py
+++ b/tests/steps/safeguard_steps.py
@@ -184,12 +184,12 @@
 
 def break_holder(self, **options):
     WHOLE_HOLDER(self, **options)
-    self._remembers_from = 0.0
+    self._min_made_at = 0.0
 
 
 def break_lease(self, **options):
     WHOLE_LEASE(self, **options)
-    self._silent_until = self._next_try = options["now"]
+    self._abstains_until = self._next_attempt_at = options["now"]
 
 
 def break_may_order(self, now):
@@ -229,7 +229,11 @@
         "is_ready",
         lambda group, members: any(vm in members for vm in group.vms),
     ),
-    "a lost domain is noticed": (announcement_receiver, "SILENCE_S", 1e9),
+    "a lost domain is noticed": (
+        announcement_receiver,
+        "ANNOUNCEMENT_TIMEOUT_S",
+        1e9,
+    ),
     "restarted grantors stay silent": (
         (zone_lease.ZoneLease, "__init__", break_lease),
         (zone_lease, "LONGEST_ORDER_S", 0.0),
