--- a/src/hickorylead/errors.py
+++ b/src/hickorylead/errors.py
@@ -1,4 +1,4 @@
-"""The family of errors that end a command, and their exit codes."""
+"""Errors that end a command, and their exit codes."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class ConflictError(HickoryleadError):
-    """A change lost against another one made from the same version."""
+    """A change conflicts with another one made from the same version."""
 
     exit_code = 3
 
 
 class RefusedError(HickoryleadError):
-    """The system refused a change or a question; the message says why."""
+    """The system refused a change or a query; the message says why."""
 
     exit_code = 4
 
 
 class UnreachableError(HickoryleadError):
-    """No entry answered, or the answer was lost on the way."""
+    """No entry responded, or the response was lost."""
 
     exit_code = 5
 
--- a/src/hickorylead/forwarding/choice.py
+++ b/src/hickorylead/forwarding/choice.py
@@ -1,4 +1,4 @@
-"""The choice of a replica for a request, by estimated time to its answer."""
+"""The choice of a replica for a request, by estimated time to first token."""
 
 from __future__ import annotations
 
@@ -19,55 +19,58 @@
     from hickorylead.notices import notice_store as notice_store_module
     from hickorylead.ratelimits import permit_pool as permit_pool_module
 
-# A replica of another zone is taken if it is this much faster, in seconds: a
-# round trip is about 2 ms, and bytes between zones are dear. Nobody feels the
-# rest: first events come some 120 ms before their objective.
-REMOTE_S = 0.012
-# Reports are late, so the same replica looks best to every gateway at once.
-# A random part of the estimate, of this size, spreads them.
-SPREAD_S = 0.006
-# A failure lately counts like this much more time, in seconds: about half of
-# the shortest objective, so a replica that fails each second request loses
-# nearly all of its traffic while others are free.
-FAILURE_S = 0.15
-# A replica that may turn requests away counts like one that failed lately.
-DOUBT_S = FAILURE_S
-# A replica that control nodes miss is a last choice but one, in seconds.
-SILENT_S = 0.5
-# Requests beyond the slots of a replica that it may be given; it queues a few.
+# A replica of another zone is chosen only if it is this much faster, in
+# seconds. A round trip takes about 2 ms and traffic between zones is expensive.
+# The rest does no harm: first events arrive some 120 ms before their objective.
+REMOTE_ZONE_PENALTY_S = 0.012
+# Load reports are late, so all gateways would choose the same replica. Up to
+# this much random time, in seconds, is added to each estimate.
+JITTER_S = 0.006
+# Added to the estimate for each recent failure, in seconds: about half of the
+# shortest objective, so a replica that fails every second request loses nearly
+# all of its traffic while others are free.
+FAILURE_PENALTY_S = 0.15
+# Added for a replica that is likely to refuse, as for one recent failure.
+PROBATION_PENALTY_S = FAILURE_PENALTY_S
+# Added for a replica whose heartbeats the control nodes miss, in seconds: only
+# replicas that seem to have stalled are a worse choice.
+MISSING_PENALTY_S = 0.5
+# Requests that may be sent to a replica beyond its slots, as a share of them;
+# it queues a few.
 QUEUE_SHARE = 0.25
 
 
 @attrs.frozen
 class Choice:
-    """The replica chosen, and how many were weighed.
+    """The chosen replica, and how many candidates there were.
 
     Attributes:
         replica: The replica.
         estimate_s: Estimated time to the first token, in seconds.
-        weighed: Replicas that were weighed.
-        withheld: A better one that may get no request without a permit.
-        paused: Replicas that want no request for now.
+        candidates: Replicas whose estimates were compared.
+        withheld: A better one, not chosen because no permit is left for it.
+        paused: Replicas that asked for no requests for a time.
     """
 
     replica: model.Replica
     estimate_s: float
-    weighed: int
+    candidates: int
     withheld: model.Replica | None = None
     paused: int = 0
 
 
 @attrs.frozen
 class NoChoice:
-    """No replica can take the request now.
+    """No replica can accept the request now.
 
     Attributes:
-        known: Replicas that are known, whether or not they can.
-        is_full: Whether there are some, but all are full.
-        withheld: The best of those that would take it but for a permit.
-        permit_s: When there may be one for it, in seconds; 0 if unknown.
-        pause_s: When the first replica that wants no request for now takes
-            some again, in seconds; 0 if there is none.
+        known: Known replicas, whether or not they can accept it.
+        is_full: Whether any replica was passed over because it is full.
+        withheld: The best of those that only lack a permit.
+        permit_s: Time until there may be a permit for it, in seconds; 0 if
+            unknown.
+        pause_s: Time until the first paused replica accepts requests again, in
+            seconds; 0 if none is paused.
     """
 
     known: int
@@ -78,7 +81,7 @@
 
     @property
     def wait_s(self) -> float:
-        """When a replica may take the request, in seconds; 0 if unknown."""
+        """Seconds until a replica may accept the request; 0 if unknown."""
         if self.withheld is not None:
             return self.permit_s
         return 0.0 if self.is_full else self.pause_s
@@ -91,7 +94,7 @@
     Attributes:
         replica: The replica.
         estimate_s: Estimated time to the first token, in seconds.
-        permit_s: When there may be a permit for it, in seconds.
+        permit_s: Time until there may be a permit for it, in seconds.
     """
 
     replica: model.Replica
@@ -117,21 +120,21 @@
         Args:
             zone: Zone of the gateway.
             directory: Replicas that may be used.
-            health: What was seen of them.
-            notices: What they said about requests to come.
+            health: Load, stalls and failures observed of them.
+            notices: Pauses and departures that they announced.
             permits: Permits for those that name a rate limit.
-            rng: Source of the spread.
+            rng: Source of the jitter.
         """
         self._zone = zone
-        self._view = directory
-        self._book = health
+        self._directory = directory
+        self._health = health
         self._notices = notices
         self._permits = permits
         self._rng = rng
 
     def find(self, name: str) -> model.Replica | None:
-        """Returns the replica whose requests an instance takes."""
-        return self._view.find(name)
+        """Returns the replica whose requests an instance receives."""
+        return self._directory.find(name)
 
     def choose(
         self,
@@ -143,51 +146,52 @@
         max_own_requests: int | None = None,
         now: float,
     ) -> Choice | NoChoice:
-        """Returns the replica that should answer first.
+        """Returns the replica with the lowest estimated time to first token.
 
         Args:
             request: The request.
-            engine: Figures of the service's engines; None if it is plain.
-            avoid: Replicas that this request has failed at.
-            may_probe: Whether it may find out if a replica that turned requests
-                away takes some again.
+            engine: Profile of the service's engines; None if it is plain.
+            avoid: Replicas on which this request has failed.
+            may_probe: Whether the request may probe whether a replica that
+                refused requests accepts them again.
             max_own_requests: Most requests of this gateway that one replica may
                 run at once, each on its own connection; None for no limit.
             now: Present time.
         """
-        known = self._list_staying(request, now)
+        known = self._list_not_leaving(request, now)
         pauses = self._find_pauses(known, now)
         ready = [r for r in known if r.name not in pauses] if pauses else known
         pause_s = min(pauses.values(), default=0.0)
         best: _Candidate | None = None
         withheld: _Candidate | None = None
-        full = 0
-        most = 1.0 + QUEUE_SHARE
-        # With nothing better, one that seems to have stopped is tried again:
-        # to refuse all would turn a few slow passes into an outage.
-        usable = [r for r in ready if not self._book.is_stalled(r, now)]
+        full_count = 0
+        max_utilization = 1.0 + QUEUE_SHARE
+        # If all of them seem to have stalled, they are tried anyway: refusing
+        # all requests would turn a few slow passes into an outage.
+        usable = [r for r in ready if not self._health.is_stalled(r, now)]
         for replica in usable or ready:
             if replica.name in avoid:
                 continue
-            running = self._book.count_requests(replica, now)
-            own_requests = self._book.get(replica).own_requests
-            if running >= replica.slots * most or (
+            running = self._health.count_requests(replica, now)
+            own_requests = self._health.get(replica).own_requests
+            if running >= replica.slots * max_utilization or (
                 max_own_requests is not None
                 and own_requests >= max_own_requests
             ):
-                full += 1
+                full_count += 1
                 continue
             estimate_s = self._estimate(replica, request, engine, running, now)
             if self._notices.is_likely_to_refuse(
                 replica, now, may_probe=may_probe
             ):
-                estimate_s += DOUBT_S
+                estimate_s += PROBATION_PENALTY_S
             if self._permits.may_send(replica, now):
                 found = _Candidate(replica, estimate_s)
                 best = found if best is None else min(best, found, key=_rank)
                 continue
-            # It named a limit for all gateways together. Each sent it what
-            # seemed right by itself, and it got many times what it takes.
+            # The replica named a rate limit that all gateways share. Without
+            # permits each gateway would send at its own rate, many times the
+            # limit in total.
             permit_s = self._permits.get_wait_remaining_s(replica, now)
             found = _Candidate(replica, estimate_s, permit_s)
             withheld = (
@@ -196,7 +200,7 @@
         if best is None:
             return NoChoice(
                 len(known),
-                full > 0,
+                full_count > 0,
                 withheld.replica if withheld else None,
                 withheld.permit_s if withheld else 0.0,
                 pause_s,
@@ -212,11 +216,11 @@
             len(pauses),
         )
 
-    def _list_staying(
+    def _list_not_leaving(
         self, request: model.Request, now: float
     ) -> list[model.Replica]:
-        """Returns the replicas for a request that are not about to end."""
-        known = self._view.list_replicas(
+        """Returns the replicas for a request that are not about to stop."""
+        known = self._directory.list_replicas(
             request.service, request.metadata.model
         )
         if not len(self._notices):
@@ -226,7 +230,7 @@
     def _find_pauses(
         self, known: Iterable[model.Replica], now: float
     ) -> dict[str, float]:
-        """Returns the replicas that want no request, and for how long."""
+        """Returns the names of paused replicas, with the seconds left."""
         if not len(self._notices):
             return {}
         pauses = {
@@ -242,37 +246,40 @@
         running: int,
         now: float,
     ) -> float:
-        estimate_s = self._rng.random() * SPREAD_S
+        estimate_s = self._rng.random() * JITTER_S
         if replica.zone != self._zone:
-            estimate_s += REMOTE_S
-        estimate_s += FAILURE_S * self._book.count_failures(replica, now)
-        if replica.is_silent:
-            estimate_s += SILENT_S
+            estimate_s += REMOTE_ZONE_PENALTY_S
+        estimate_s += FAILURE_PENALTY_S * self._health.count_failures(
+            replica, now
+        )
+        if replica.is_missing:
+            estimate_s += MISSING_PENALTY_S
         if engine is None:
-            # Work times are not told; a busy slot counts like a tenth of the
-            # objective, a waiting place like half of it.
+            # Plain services report no processing times. A busy slot counts as
+            # a tenth of the objective, a queued request as half of it.
             busy = min(running, replica.slots)
             waiting = max(0, running - replica.slots + 1)
             share = 0.1 * busy / replica.slots + 0.5 * waiting / replica.slots
             return estimate_s + request.route.objective_s * share
-        figures = engine.find_model(replica.model)
-        pace = figures.time_factor if figures else 1.0
-        reading = (
-            self._book.get(replica).reading + request.metadata.prompt_tokens
+        profile = engine.find_model(replica.model)
+        time_factor = profile.time_factor if profile else 1.0
+        prefill_tokens = (
+            self._health.get(replica).prefill_tokens
+            + request.metadata.prompt_tokens
         )
         step_s = engine.decode_step_s + engine.decode_step_per_request_s * (
             running + 1
         )
         waiting = max(0, running + 1 - replica.slots)
-        # A full replica lets a newcomer wait until one of its requests ends.
-        usual_s = step_s * 100 * waiting / replica.slots
-        return estimate_s + pace * (
+        # On a full replica a new request waits until another one ends.
+        queue_s = step_s * 100 * waiting / replica.slots
+        return estimate_s + time_factor * (
             step_s * engine.steps_per_event
-            + reading * engine.prefill_per_token_s
-            + usual_s
+            + prefill_tokens * engine.prefill_per_token_s
+            + queue_s
         )
 
 
 def _rank(candidate: _Candidate) -> tuple[float, float]:
-    """Returns what the better of two candidates has the lesser of."""
+    """Returns the sort key of a candidate; the better one sorts first."""
     return candidate.permit_s, candidate.estimate_s
--- a/src/hickorylead/forwarding/descriptions.py
+++ b/src/hickorylead/forwarding/descriptions.py
@@ -18,71 +18,71 @@
 
 
 def describe_attempt(
-    opened: state.PendingRequest, attempt: state.Attempt
+    pending: state.PendingRequest, attempt: state.Attempt
 ) -> notes.Note:
-    """Returns the line about a second or later try."""
+    """Returns the line about a second or later attempt."""
     return notes.Note(
         "attempt_sent",
-        opened.request.request_id,
+        pending.request.request_id,
         {
             "attempt": attempt.number,
-            "last_event": opened.last_event_id,
+            "last_event": pending.last_event_id,
             **_describe_choice(attempt),
         },
     )
 
 
 def describe_failure(
-    opened: state.PendingRequest,
+    pending: state.PendingRequest,
     attempt: state.Attempt,
     *,
     verdict: verdict_module.Verdict,
     reason: str,
     now: float,
 ) -> notes.Note:
-    """Returns the line about a try that gave no whole answer."""
+    """Returns the line about an attempt without a complete response."""
     return notes.Note(
         "attempt_failed",
-        opened.request.request_id,
+        pending.request.request_id,
         {
             "attempt": attempt.number,
             "server": attempt.replica.name,
             "verdict": verdict.value,
             "reason": reason,
             "after_s": round(now - attempt.sent_at, 3),
-            "last_event": opened.last_event_id,
-            "content": request_hash.format_request_hash(opened.content),
+            "last_event": pending.last_event_id,
+            "content": request_hash.format_request_hash(pending.request_hash),
             **_describe_refusal(attempt.head),
         },
     )
 
 
 def describe_leaving(replica: model.Replica) -> notes.Note:
-    """Returns the line about a replica that says that it leaves."""
+    """Returns the line about a replica that announced its departure."""
     return notes.note("server_leaving", server=replica.name, born=replica.born)
 
 
-def describe_unreadable(
+def describe_malformed_headers(
     replica: model.Replica, names: tuple[str, ...]
 ) -> notes.Note:
-    """Returns the line about headers of an answer that can't be read."""
+    """Returns the line about malformed headers of a response."""
     return notes.note(
         "header_unreadable", server=replica.name, headers=list(names)
     )
 
 
 def describe_end(
-    opened: state.PendingRequest, outcome: str, *, version: int, now: float
+    pending: state.PendingRequest, outcome: str, *, version: int, now: float
 ) -> notes.Note:
-    """Returns the line about a request that has its final answer.
+    """Returns the line about a request that has ended.
 
     Args:
-        opened: The request.
+        pending: The request.
         outcome: Stable code of how it ended.
         version: The operators' version of the configuration in force.
         now: Present time.
     """
-    request, last = opened.request, opened.last
+    request, last_attempt = pending.request, pending.last_attempt
     return notes.Note(
         "request_ended",
         request.request_id,
@@ -91,22 +91,22 @@
             "route": request.route.name,
             "kind": request.route.kind.value,
             "workspace": request.workspace,
-            "content": request_hash.format_request_hash(opened.content),
+            "content": request_hash.format_request_hash(pending.request_hash),
             "configuration": version,
             "outcome": outcome,
-            "verdict": opened.verdict.value,
-            "attempts": opened.attempts,
-            "lasted_s": round(now - opened.arrived_at, 3),
-            "first_event_s": _round(opened.first_event_s),
+            "verdict": pending.verdict.value,
+            "attempts": pending.attempt_count,
+            "lasted_s": round(now - pending.arrived_at, 3),
+            "first_event_s": _round(pending.first_event_s),
             "objective_s": request.route.objective_s,
-            "longest_pause_s": round(opened.longest_pause_s, 3),
+            "longest_pause_s": round(pending.longest_gap_s, 3),
             "pause_limit_s": request.route.max_event_gap_s,
             "sent_after_s": _round(
-                opened.first_sent_at - opened.arrived_at
-                if opened.first_sent_at is not None
+                pending.first_sent_at - pending.arrived_at
+                if pending.first_sent_at is not None
                 else None
             ),
-            **(_describe_choice(last) if last else {}),
+            **(_describe_choice(last_attempt) if last_attempt else {}),
         },
         level="debug" if outcome == "answered" else "info",
     )
@@ -114,19 +114,19 @@
 
 def describe_stall(
     stall: stalls.Stall,
-    seen: health_module.ReplicaStats,
+    stats: health_module.ReplicaStats,
     streams: int,
     now: float,
 ) -> notes.Note:
-    """Returns the line about a replica that has stopped."""
+    """Returns the line about a replica that has stalled."""
     return notes.note(
         "replica_stalled",
         server=stall.replica.name,
         epoch=stall.replica.epoch,
         basis=stall.basis.value,
-        # None if it never gave this gateway anything.
+        # None if it never sent this gateway any output.
         silent_s=_round(
-            now - seen.progress_at if seen.progress_at > 0 else None
+            now - stats.progress_at if stats.progress_at > 0 else None
         ),
         streams=streams,
     )
@@ -135,7 +135,7 @@
 def describe_limit(
     replica: model.Replica, limit_per_s: float | None
 ) -> notes.Note:
-    """Returns the line about a replica that names another limit, or none."""
+    """Returns the line about a change of a replica's rate limit."""
     return notes.note(
         "server_limit", server=replica.name, limit_per_s=limit_per_s
     )
@@ -147,12 +147,12 @@
         "server": attempt.replica.name,
         "zone": attempt.replica.zone,
         "epoch": attempt.replica.epoch,
-        "weighed": choice.weighed,
+        "weighed": choice.candidates,
         "estimate_s": round(choice.estimate_s, 4),
         "running": choice.running,
         "limit_per_s": choice.limit_per_s,
         "paused": choice.paused or None,
-        "load_told_ago_s": _round(choice.told_ago_s),
+        "load_told_ago_s": _round(choice.load_age_s),
     }
 
 
--- a/src/hickorylead/forwarding/events.py
+++ b/src/hickorylead/forwarding/events.py
@@ -12,21 +12,21 @@
 
 @attrs.frozen
 class RequestArrived:
-    """Event: a request came, whole."""
+    """Event: a complete request arrived."""
 
     request: model.Request
 
 
 @attrs.frozen
 class CallerDisconnected:
-    """Event: the caller closed its connection before the answer ended."""
+    """Event: the caller closed its connection before the response ended."""
 
     request_id: str
 
 
 @attrs.frozen
 class ResponseHeadArrived:
-    """Event: the head of a replica's answer came."""
+    """Event: the head of a replica's response arrived."""
 
     request_id: str
     attempt: int
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class ChunkArrived:
-    """Event: a piece of the body of a replica's answer came."""
+    """Event: a chunk of the body of a replica's response arrived."""
 
     request_id: str
     attempt: int
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class ResponseCompleted:
-    """Event: a replica's answer is whole."""
+    """Event: a replica's response is complete."""
 
     request_id: str
     attempt: int
@@ -52,12 +52,12 @@
 
 @attrs.frozen
 class AttemptFailed:
-    """Event: an attempt ended without a whole answer.
+    """Event: an attempt ended without a complete response.
 
     Attributes:
         request_id: The request.
         attempt: Number of the attempt.
-        verdict: What is known about whether it ran.
+        verdict: Whether the request may have run.
         reason: Stable code for logs.
     """
 
@@ -84,7 +84,7 @@
     Attributes:
         request: The request.
         attempt: Number of the attempt, from 1.
-        replica: Where to.
+        replica: The replica.
         budget_s: How long the replica may work on it, in seconds.
         last_event_id: Id of the last event that the caller has; 0 if none.
         rank: Its rank among the replica's requests, 0 to 9; 0 goes first.
@@ -100,7 +100,7 @@
 
 @attrs.frozen
 class CancelAttempt:
-    """Effect: close an attempt's connection, which stops the replica."""
+    """Effect: close an attempt's connection so that the replica stops."""
 
     request_id: str
     attempt: int
@@ -108,7 +108,7 @@
 
 @attrs.frozen
 class StartResponse:
-    """Effect: give the caller the head of its answer.
+    """Effect: send the caller the head of its response.
 
     Attributes:
         request_id: The request.
@@ -125,7 +125,7 @@
 
 @attrs.frozen
 class WriteChunk:
-    """Effect: give the caller a piece of the body."""
+    """Effect: send the caller a chunk of the body."""
 
     request_id: str
     data: bytes
@@ -133,27 +133,27 @@
 
 @attrs.frozen
 class FinishResponse:
-    """Effect: the answer is whole."""
+    """Effect: end the response as complete."""
 
     request_id: str
 
 
 @attrs.frozen
 class AbortResponse:
-    """Effect: end the answer so that it does not look whole."""
+    """Effect: end the response so that the caller sees it is incomplete."""
 
     request_id: str
 
 
 @attrs.frozen
 class Refuse:
-    """Effect: answer the caller with a status of our own.
+    """Effect: refuse the request with a response of the gateway itself.
 
     Attributes:
         request_id: The request.
         status: HTTP status.
         reason: Stable code.
-        retry_after_s: When to come back, in seconds; None if unsaid.
+        retry_after_s: When the caller may retry, in seconds; None if not given.
     """
 
     request_id: str
--- a/src/hickorylead/forwarding/forwarder.py
+++ b/src/hickorylead/forwarding/forwarder.py
@@ -1,7 +1,7 @@
-"""The life of forwarded requests at one gateway, as a reducer.
+"""Reducer that forwards the requests of one gateway.
 
-A request is sent to a replica, goes on at another one if that is allowed, and
-ends with exactly one final effect. It is never sent a second time unless it
+A request is sent to a replica, is retried on another one if that is allowed,
+and ends with exactly one final effect. It is never sent a second time unless it
 may run twice or certainly has not run.
 """
 
@@ -14,13 +14,13 @@
 from hickorylead.admission import budget as budget_module
 from hickorylead.crashes import crash_guard as crash_guard_module, request_hash
 from hickorylead.forwarding import (
-    answers,
     choice as choice_module,
     descriptions,
     events,
     model,
     ranks,
     refusals,
+    responses,
     stalls,
     state,
     stream,
@@ -36,37 +36,40 @@
 
 Verdict = verdict_module.Verdict
 
-# Replicas that one request is sent to at most, those that refused it counted:
-# each refusal costs a round trip and a share of the common retry budget.
+# Largest number of replicas that one request is sent to, including those that
+# refused it: each refusal costs a round trip and a share of the common retry
+# budget.
 MAX_SENDS = 4
-# Retries that must be left for a request that may be turned away by a server
-# whose pause has ended: one for itself, and one for a request that needs it.
+# Retries that must be left before a request may probe a server whose pause has
+# ended and that may refuse it: one for this request, and one for another
+# request that needs it.
 PROBE_RETRIES = 2
-# Retry delay given to callers of a suspected content, in seconds: by then its
-# current run has given its first event or has ended its server.
-SUSPECTED_RETRY_S = 1.0
+# Retry time for a request that is suspected to end servers, in seconds: by then
+# its current run has had its first event or has ended its server.
+SUSPECTED_RETRY_AFTER_S = 1.0
 # Share of a replica's connection limit that gateways may use; the rest is
 # reserved for state queries and orders from coordinators.
 CONNECTION_SHARE = 0.9
-# Most servers at fault that are reported together; any others are dropped.
+# Largest number of servers at fault in one report; any others are dropped.
 MAX_FAULTY_SERVERS = 64
-# A replica is not started on a request that has less time left, in seconds:
-# it could not answer any more.
+# A request with less time left, in seconds, is not sent to a replica, which
+# could not respond in time.
 MIN_BUDGET_S = 0.02
-# Bodies of answers that are not streams are given whole up to this size, in
-# bytes, so that one that breaks off can still be asked for elsewhere.
-MAX_WHOLE_BYTES = 512 * 1024
-# A try that gave nothing for this long when its caller or its time ended it may
-# have lost its server, in seconds; a replica that works gives something each
-# 0.1 s, and the first event within 0.3 s.
-SILENT_S = 0.5
-# Longest time between two looks at the open requests, in seconds: what others
-# tell of a replica may bring a stall forward.
-LONGEST_PAUSE_S = 0.25
+# Responses that are not streams are buffered until complete up to this size, in
+# bytes, so that a request whose response breaks off can be retried on another
+# replica.
+MAX_BUFFERED_BYTES = 512 * 1024
+# An attempt without output for this long, in seconds, when its caller
+# disconnects or its deadline passes may have lost its server. A working replica
+# sends its first event within 0.3 s and output every 0.1 s after that.
+OUTPUT_TIMEOUT_S = 0.5
+# Longest time between two checks of the pending requests, in seconds: reports
+# by other gateways may make a replica count as stalled earlier than expected.
+MAX_WAKEUP_DELAY_S = 0.25
 
 
 class Forwarder:
-    """All open requests of one gateway."""
+    """All pending requests of one gateway."""
 
     def __init__(
         self,
@@ -83,21 +86,21 @@
 
         Args:
             chooser: The choice of a replica.
-            health: What this gateway has seen of replicas.
-            guard: Contents that no replica may get, and lost runs.
-            notices: What replicas said about requests to come.
+            health: Load, stalls and failures observed of replicas.
+            guard: Requests that no replica may run, and lost runs.
+            notices: Pauses and departures that replicas announced.
             permits: Permits for replicas that name a rate limit.
-            limits: Retries that all gateways may make together.
+            limits: Retries that all gateways together may make.
             started_at: When the gateway started.
         """
         self._started_at = started_at
         self._chooser = chooser
-        self._book = health
+        self._health = health
         self._guard = guard
         self._notices = notices
         self._permits = permits
         self._budgets = budget_module.GatewayRetryBudgets(limits)
-        self._open: dict[str, state.PendingRequest] = {}
+        self._pending: dict[str, state.PendingRequest] = {}
         # Servers that refusals named as at fault, not yet reported, in order.
         self._faulty_servers: dict[str, None] = {}
         # Connection limits apply only once the number of gateways is known.
@@ -105,11 +108,14 @@
         self.document: document_module.Document | None = None
 
     def count_open(self) -> int:
-        """Returns how many requests have no final answer yet."""
-        return len(self._open)
+        """Returns the number of pending requests."""
+        return len(self._pending)
 
     def set_gateway_count(self, count: int, now: float) -> None:
-        """Takes how many gateways share the retries."""
+        """Sets the number of gateways that share the limits.
+
+        These are the retry budget, connection limits and permits.
+        """
         self._budgets.set_gateway_count(count, now)
         self._has_gateway_count = True
         self._permits.set_gateway_count(self._budgets.gateway_count)
@@ -118,40 +124,42 @@
         """Handles one event."""
         match event:
             case events.ChunkArrived():
-                return self._take_piece(event, now)
+                return self._handle_chunk(event, now)
             case events.RequestArrived(request):
-                return self._arrive(request, now)
+                return self._handle_arrival(request, now)
             case events.ResponseHeadArrived():
-                return self._begin(event, now)
+                return self._handle_head(event, now)
             case events.ResponseCompleted():
-                return self._end(event, now)
+                return self._handle_completion(event, now)
             case events.AttemptFailed(request_id, attempt, verdict, reason):
-                opened = self._find(request_id, attempt)
-                if opened is None:
+                pending = self._find_pending(request_id, attempt)
+                if pending is None:
                     return []
-                return self._fail(opened, verdict, reason, now)
+                return self._fail_attempt(pending, verdict, reason, now)
             case events.CallerDisconnected(request_id):
-                return self._leave(request_id, now)
+                return self._handle_disconnect(request_id, now)
 
     def tick(self, now: float) -> list[events.Effect]:
-        """Lets time pass: deadlines, silent replicas, requests that wait."""
+        """Handles deadlines, waiting requests and stalled replicas."""
         effects: list[events.Effect] = []
-        for opened in list(self._open.values()):
-            if now >= opened.ends_at:
-                effects += self._give_up(opened, now)
-            elif stalls.is_overdue(opened, now) and self._can_move(opened, now):
-                effects += self._fail(
-                    opened, Verdict.MAY_HAVE_RUN, "no_answer", now
+        for pending in list(self._pending.values()):
+            if now >= pending.ends_at:
+                effects += self._expire(pending, now)
+            elif stalls.is_overdue(pending, now) and self._can_move(
+                pending, now
+            ):
+                effects += self._fail_attempt(
+                    pending, Verdict.MAY_HAVE_RUN, "no_answer", now
                 )
         effects += self.dispatch_waiting(now)
         for stall in stalls.find_stalled(
-            list(self._open.values()),
-            self._book,
+            list(self._pending.values()),
+            self._health,
             self._find_engine,
-            factor=stalls.find_factor(self._started_at, now),
+            factor=stalls.find_startup_factor(self._started_at, now),
             now=now,
         ):
-            effects += self._leave_replica(stall, now)
+            effects += self._move_streams(stall, now)
         return effects
 
     def pop_faulty_servers(self) -> tuple[str, ...]:
@@ -161,137 +169,137 @@
         return names
 
     def dispatch_waiting(self, now: float) -> list[events.Effect]:
-        """Tries the requests that wait for a replica, the most urgent first."""
-        waiting = [o for o in self._open.values() if o.phase == "waiting"]
+        """Tries to send the waiting requests, the most urgent first."""
+        waiting = [o for o in self._pending.values() if o.phase == "waiting"]
         waiting.sort(key=lambda o: (ranks.find_rank(o), o.arrived_at))
         effects: list[events.Effect] = []
-        for opened in waiting:
-            effects += self._try(opened, now)
+        for pending in waiting:
+            effects += self._try_send(pending, now)
         return effects
 
     def find_next_wakeup(self, now: float) -> float:
-        """Returns when time alone may change something, at the earliest.
+        """Returns the earliest time at which `tick` may have something to do.
 
-        What comes from replicas or callers is handled as it comes; it can only
-        put this off.
+        Events from replicas and callers are handled when they arrive; they can
+        only postpone this time.
         """
-        due = now + LONGEST_PAUSE_S
-        for opened in self._open.values():
-            if opened.phase == "waiting":
+        due = now + MAX_WAKEUP_DELAY_S
+        for pending in self._pending.values():
+            if pending.phase == "waiting":
                 return now
-            due = min(due, opened.ends_at)
-            if opened.attempt is not None and not opened.request.is_stream:
-                due = min(due, stalls.find_overdue(opened))
+            due = min(due, pending.ends_at)
+            if pending.attempt is not None and not pending.request.is_stream:
+                due = min(due, stalls.find_overdue_at(pending))
         return min(due, self._find_next_stall(now))
 
     def _find_next_stall(self, now: float) -> float:
-        due = now + LONGEST_PAUSE_S
-        factor = stalls.find_factor(self._started_at, now)
-        for opened in self._open.values():
-            attempt = opened.attempt
-            if attempt is None or not opened.request.is_stream:
+        due = now + MAX_WAKEUP_DELAY_S
+        factor = stalls.find_startup_factor(self._started_at, now)
+        for pending in self._pending.values():
+            attempt = pending.attempt
+            if attempt is None or not pending.request.is_stream:
                 continue
             engine = self._find_engine(attempt.replica.service)
             if engine is None:
                 continue
-            limit_s = factor * stalls.find_limit(
+            limit_s = factor * stalls.find_stall_limit(
                 attempt.replica,
                 engine,
-                self._book.find_largest_prompt(attempt.replica.model, now),
+                self._health.find_largest_prompt(attempt.replica.model, now),
             )
-            seen = self._book.get(attempt.replica)
-            due = min(due, max(seen.progress_at, attempt.sent_at) + limit_s)
+            stats = self._health.get(attempt.replica)
+            due = min(due, max(stats.progress_at, attempt.sent_at) + limit_s)
         return due
 
     def handle_reported_stalls(
         self, heads: tuple[str, ...], now: float
     ) -> list[events.Effect]:
-        """Takes replicas whose streams another gateway saw stop.
+        """Handles stalls that another gateway reported.
 
-        Only those that have given nothing here for some passes, either, are
-        left: what the other one saw may have been its own connection.
+        Streams are moved only if the replica has sent no output to this gateway
+        for some passes either: the other gateway's connection may be at fault.
         """
         effects: list[events.Effect] = []
         for head in heads:
-            replica = self._find_used(head)
-            if replica is None or self._book.is_stalled(replica, now):
+            replica = self._find_replica(head)
+            if replica is None or self._health.is_stalled(replica, now):
                 continue
             engine = self._find_engine(replica.service)
             if engine is None:
                 continue
-            factor = stalls.find_factor(self._started_at, now)
+            factor = stalls.find_startup_factor(self._started_at, now)
             limit_s = (
                 factor
-                * stalls.TOLD_SHARE
-                * stalls.find_limit(
+                * stalls.REPORTED_SHARE
+                * stalls.find_stall_limit(
                     replica,
                     engine,
-                    self._book.find_largest_prompt(replica.model, now),
+                    self._health.find_largest_prompt(replica.model, now),
                 )
             )
-            if now - self._book.get(replica).progress_at > limit_s:
-                stall = stalls.Stall(replica, stalls.Basis.TOLD)
-                effects += self._leave_replica(stall, now)
+            if now - self._health.get(replica).progress_at > limit_s:
+                stall = stalls.Stall(replica, stalls.Basis.REPORTED)
+                effects += self._move_streams(stall, now)
         return effects
 
-    def _find_used(self, head: str) -> model.Replica | None:
+    def _find_replica(self, head: str) -> model.Replica | None:
         found = self._chooser.find(head)
         if found is not None:
             return found
-        for opened in self._open.values():
-            attempt = opened.attempt
+        for pending in self._pending.values():
+            attempt = pending.attempt
             if attempt is not None and attempt.replica.name == head:
                 return attempt.replica
         return None
 
     # Arrival and choice.
 
-    def _arrive(
+    def _handle_arrival(
         self, request: model.Request, now: float
     ) -> list[events.Effect]:
         limit_s = request.route.timeout_s
         if request.metadata.budget_s is not None:
             limit_s = min(limit_s, request.metadata.budget_s)
         arrived_at = now - request.waited_s
-        opened = state.PendingRequest(
+        pending = state.PendingRequest(
             request,
             arrived_at,
             arrived_at + limit_s,
             last_event_id=request.metadata.last_event_id,
-            content=request_hash.hash_request(
+            request_hash=request_hash.hash_request(
                 request.workspace,
                 (request.method.encode(), request.target, request.body),
             ),
         )
-        self._open[request.request_id] = opened
+        self._pending[request.request_id] = pending
         self._budgets.get_budget(request.service).deposit()
-        self._book.note_prompt(
+        self._health.record_prompt(
             request.metadata.model, request.metadata.prompt_tokens, now
         )
-        return self._try(opened, now)
+        return self._try_send(pending, now)
 
-    def _try(
-        self, opened: state.PendingRequest, now: float
+    def _try_send(
+        self, pending: state.PendingRequest, now: float
     ) -> list[events.Effect]:
-        request = opened.request
-        if opened.ends_at - now < MIN_BUDGET_S:
-            return self._give_up(opened, now)
-        # A request that ends its server is sent again by its caller, through
-        # any gateway; without a look here, each time two more ended. What all
-        # gateways know counts, and arrivals, retries and waiting requests all
-        # come by here.
-        blocked_s = self._guard.get_block_remaining_s(opened.content, now)
+        request = pending.request
+        if pending.ends_at - now < MIN_BUDGET_S:
+            return self._expire(pending, now)
+        # A caller submits a request that ended its server again, through any
+        # gateway. Without this check, each submission ended two more servers.
+        # Blocks are shared by all gateways, and the check is here because
+        # arrivals, retries and waiting requests all pass through this method.
+        blocked_s = self._guard.get_block_remaining_s(pending.request_hash, now)
         if blocked_s is not None:
-            return self._refuse_blocked(opened, blocked_s, now)
-        if self._must_defer(opened, now):
-            if refusals.may_wait(opened, now):
-                opened.phase = "waiting"
+            return self._refuse_blocked(pending, blocked_s, now)
+        if self._must_defer(pending, now):
+            if refusals.may_wait(pending, now):
+                pending.phase = "waiting"
                 return []
-            return self._refuse_blocked(opened, SUSPECTED_RETRY_S, now)
+            return self._refuse_blocked(pending, SUSPECTED_RETRY_AFTER_S, now)
         chosen = self._chooser.choose(
             request,
             self._find_engine(request.service),
-            avoid=opened.failed,
+            avoid=pending.failed_replicas,
             may_probe=self._budgets.get_budget(request.service).has_balance(
                 PROBE_RETRIES
             ),
@@ -304,115 +312,115 @@
                     self._permits.request_permit(
                         withheld, is_needed=False, now=now
                     )
-                return self._send(opened, chosen, now)
+                return self._send(pending, chosen, now)
             case choice_module.NoChoice(withheld=withheld, wait_s=wait_s):
                 if withheld is not None:
                     self._permits.request_permit(
                         withheld, is_needed=True, now=now
                     )
-                if refusals.may_wait(opened, now + wait_s):
-                    opened.phase = "waiting"
+                if refusals.may_wait(pending, now + wait_s):
+                    pending.phase = "waiting"
                     return []
                 return self._refuse(
-                    opened, refusals.describe_no_choice(opened, chosen), now
+                    pending, refusals.describe_no_choice(pending, chosen), now
                 )
 
-    def _must_defer(self, opened: state.PendingRequest, now: float) -> bool:
+    def _must_defer(self, pending: state.PendingRequest, now: float) -> bool:
         """Returns whether a request must not be sent yet: it may end a server.
 
-        A request whose answer has started is not deferred. Submissions of a
-        suspected content are sent one at a time: in parallel, each could end a
+        A request whose response has started is not deferred. Submissions of a
+        suspected request are sent one at a time: in parallel, each could end a
         server before the first loss is known.
         """
-        content = opened.content
-        if opened.started or not self._guard.is_suspected(content, now):
+        own_hash = pending.request_hash
+        if pending.started or not self._guard.is_suspected(own_hash, now):
             return False
-        if not self._guard.may_send(content, runs=opened.runs, now=now):
+        if not self._guard.may_send(own_hash, runs=pending.runs, now=now):
             return True
         return any(
-            other.content == content
+            other.request_hash == own_hash
             and other.attempt is not None
-            and not other.attempt.has_given
-            for other in self._open.values()
-            if other is not opened
+            and not other.attempt.has_output
+            for other in self._pending.values()
+            if other is not pending
         )
 
     def _send(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         chosen: choice_module.Choice,
         now: float,
     ) -> list[events.Effect]:
-        request, replica = opened.request, chosen.replica
-        opened.attempts += 1
-        if opened.first_sent_at is None:
-            opened.first_sent_at = now
-        opened.phase = "running"
-        opened.offered = True
-        attempt = state.Attempt(opened.attempts, replica, now, now)
+        request, replica = pending.request, chosen.replica
+        pending.attempt_count += 1
+        if pending.first_sent_at is None:
+            pending.first_sent_at = now
+        pending.phase = "running"
+        pending.was_sent = True
+        attempt = state.Attempt(pending.attempt_count, replica, now, now)
         if request.is_stream:
-            attempt.cutter = stream.EventCutter(opened.last_event_id)
-        opened.attempt = opened.last = attempt
-        seen = self._book.get(replica)
+            attempt.splitter = stream.EventSplitter(pending.last_event_id)
+        pending.attempt = pending.last_attempt = attempt
+        stats = self._health.get(replica)
         attempt.choice = state.Choice(
-            chosen.weighed,
+            chosen.candidates,
             chosen.estimate_s,
-            seen.own_requests,
-            now - seen.told_at if seen.told_at > 0 else None,
+            stats.own_requests,
+            now - stats.reported_at if stats.reported_at > 0 else None,
             self._permits.get_limit_per_s(replica, now),
             chosen.paused,
         )
         self._permits.consume_permit(replica, now)
-        seen.own_requests += 1
-        seen.reading += request.metadata.prompt_tokens
+        stats.own_requests += 1
+        stats.prefill_tokens += request.metadata.prompt_tokens
         effects: list[events.Effect] = [
             events.StartAttempt(
                 request=request,
                 attempt=attempt.number,
                 replica=replica,
-                budget_s=opened.ends_at - now,
-                last_event_id=opened.last_event_id,
-                rank=ranks.find_rank(opened),
+                budget_s=pending.ends_at - now,
+                last_event_id=pending.last_event_id,
+                rank=ranks.find_rank(pending),
             )
         ]
         if attempt.number > 1:
-            # Of the first one the line at the end tells.
-            effects.append(descriptions.describe_attempt(opened, attempt))
+            # The line about the end of the request describes the first attempt.
+            effects.append(descriptions.describe_attempt(pending, attempt))
         return effects
 
-    # What comes back.
+    # Responses.
 
-    def _find(
+    def _find_pending(
         self, request_id: str, attempt: int
     ) -> state.PendingRequest | None:
-        """Returns the request whose present try this is.
+        """Returns the request of an attempt; None if it is not the current one.
 
-        What a former try still brings is dropped here: its request has moved
-        on, or is answered.
+        Events of a previous attempt are dropped: its request was moved to
+        another replica, or has ended.
         """
-        opened = self._open.get(request_id)
-        if opened is None or opened.attempt is None:
+        pending = self._pending.get(request_id)
+        if pending is None or pending.attempt is None:
             return None
-        return opened if opened.attempt.number == attempt else None
+        return pending if pending.attempt.number == attempt else None
 
-    def _begin(
+    def _handle_head(
         self, event: events.ResponseHeadArrived, now: float
     ) -> list[events.Effect]:
-        opened = self._find(event.request_id, event.attempt)
-        if opened is None:
+        pending = self._find_pending(event.request_id, event.attempt)
+        if pending is None:
             return []
-        attempt, head = opened.attempt, event.head
+        attempt, head = pending.attempt, event.head
         assert attempt is not None
         attempt.head = head
         if head.load is not None:
-            self._book.note_load(attempt.replica, head.load, now)
-        effects = self._note_limit(opened, attempt.replica, head, now)
-        # An answer to another request still describes the state of its server.
+            self._health.record_load(attempt.replica, head.load, now)
+        effects = self._record_limit(pending, attempt.replica, head, now)
+        # A response to another request still describes the state of its server.
         # That request may have been sent before the latest refusal, so its
-        # answer ends neither an estimated pause nor the doubt after a named
-        # one. Refusals always count: some servers omit the attempt id.
+        # response ends neither an estimated pause nor the probation after a
+        # named one. Refusals always count: some servers omit the attempt id.
         is_own_answer = (
-            head.echoed_attempt_id == opened.request.metadata.attempt_id
+            head.echoed_attempt_id == pending.request.metadata.attempt_id
         )
         if self._notices.record_response(
             attempt.replica,
@@ -425,25 +433,25 @@
             effects.append(descriptions.describe_leaving(attempt.replica))
         if head.malformed_headers:
             effects.append(
-                descriptions.describe_unreadable(
+                descriptions.describe_malformed_headers(
                     attempt.replica, head.malformed_headers
                 )
             )
-        return effects + self._take_head(opened, attempt, head, now)
+        return effects + self._check_head(pending, attempt, head, now)
 
-    def _note_limit(
+    def _record_limit(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         replica: model.Replica,
         head: model.ResponseHead,
         now: float,
     ) -> list[events.Effect]:
-        """Takes whether a replica names a rate limit.
+        """Records the rate limit that a replica names, or that it names none.
 
-        An answer to another request may have been held up for long. A refusal
-        may leave out what other answers tell, so it ends no limit.
+        A response to another request may have been delayed for long and is
+        ignored. A refusal may omit the limit, so it does not end one.
         """
-        if head.echoed_attempt_id != opened.request.metadata.attempt_id or (
+        if head.echoed_attempt_id != pending.request.metadata.attempt_id or (
             head.not_run and head.limit_per_s is None
         ):
             return []
@@ -451,292 +459,304 @@
             return []
         return [descriptions.describe_limit(replica, head.limit_per_s)]
 
-    def _take_head(
+    def _check_head(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         attempt: state.Attempt,
         head: model.ResponseHead,
         now: float,
     ) -> list[events.Effect]:
-        if head.echoed_attempt_id != opened.request.metadata.attempt_id:
-            # The answer to another request: this connection is mixed up, and
-            # nothing of it may reach this caller.
+        if head.echoed_attempt_id != pending.request.metadata.attempt_id:
+            # The response belongs to another request: the connection is out of
+            # step, and nothing from it may reach this caller.
             verdict = Verdict.NOT_RUN if head.not_run else Verdict.MAY_HAVE_RUN
             if head.echoed_attempt_id or not head.not_run:
                 verdict = Verdict.MAY_HAVE_RUN
-            return self._fail(opened, verdict, "foreign_answer", now)
+            return self._fail_attempt(pending, verdict, "foreign_answer", now)
         if head.not_run:
             if (
                 head.faulty_server not in ("", attempt.replica.name)
                 and len(self._faulty_servers) < MAX_FAULTY_SERVERS
             ):
                 self._faulty_servers[head.faulty_server] = None
-            return self._fail(opened, Verdict.NOT_RUN, "refused", now)
+            return self._fail_attempt(pending, Verdict.NOT_RUN, "refused", now)
         if head.has_content_encoding or (
             head.status < 300 and not head.is_signed
         ):
-            return self._fail(
-                opened, Verdict.MAY_HAVE_RUN, "spoiled_answer", now
+            return self._fail_attempt(
+                pending, Verdict.MAY_HAVE_RUN, "spoiled_answer", now
             )
-        if opened.started and head.status != 200:
-            # The caller has a part of a stream. The whole answer of a replica
-            # that failed to go on would end it as whole, and too short.
-            return self._fail(opened, Verdict.RAN, f"status_{head.status}", now)
-        attempt.heard_at = now
-        if attempt.cutter is not None and head.status != 200:
-            attempt.cutter = None
+        if pending.started and head.status != 200:
+            # The caller has a part of a stream. The complete error response of
+            # a replica that failed to resume it would end the stream as
+            # complete, although it is truncated.
+            return self._fail_attempt(
+                pending, Verdict.RAN, f"status_{head.status}", now
+            )
+        attempt.last_received_at = now
+        if attempt.splitter is not None and head.status != 200:
+            attempt.splitter = None
         return []
 
-    def _take_piece(
+    def _handle_chunk(
         self, event: events.ChunkArrived, now: float
     ) -> list[events.Effect]:
-        opened = self._find(event.request_id, event.attempt)
-        if opened is None or opened.attempt is None:
+        pending = self._find_pending(event.request_id, event.attempt)
+        if pending is None or pending.attempt is None:
             return []
-        attempt = opened.attempt
-        attempt.heard_at = now
-        if attempt.cutter is None:
+        attempt = pending.attempt
+        attempt.last_received_at = now
+        if attempt.splitter is None:
             attempt.body += event.data
-            if len(attempt.body) > MAX_WHOLE_BYTES:
-                return answers.give_begun(opened)
+            if len(attempt.body) > MAX_BUFFERED_BYTES:
+                return responses.flush_buffer(pending)
             return []
-        self._book.note_progress(attempt.replica, now)
-        cut = attempt.cutter.feed(event.data)
+        self._health.record_progress(attempt.replica, now)
+        result = attempt.splitter.feed(event.data)
         effects: list[events.Effect] = []
-        if cut.data:
-            opened.note_events(now)
-            effects += answers.start_stream(opened, self._book)
-            effects.append(events.WriteChunk(event.request_id, cut.data))
-            opened.last_event_id = attempt.cutter.last_event_id
-        if cut.problem:
-            effects += self._fail(
-                opened, Verdict.MAY_HAVE_RUN, cut.problem, now
+        if result.data:
+            pending.record_events(now)
+            effects += responses.start_stream(pending, self._health)
+            effects.append(events.WriteChunk(event.request_id, result.data))
+            pending.last_event_id = attempt.splitter.last_event_id
+        if result.problem:
+            effects += self._fail_attempt(
+                pending, Verdict.MAY_HAVE_RUN, result.problem, now
             )
         return effects
 
-    def _end(
+    def _handle_completion(
         self, event: events.ResponseCompleted, now: float
     ) -> list[events.Effect]:
-        opened = self._find(event.request_id, event.attempt)
-        if opened is None or opened.attempt is None:
+        pending = self._find_pending(event.request_id, event.attempt)
+        if pending is None or pending.attempt is None:
             return []
-        attempt = opened.attempt
-        if attempt.cutter is not None:
-            if not attempt.cutter.is_between:
-                return self._fail(
-                    opened, Verdict.MAY_HAVE_RUN, "cut_in_event", now
+        attempt = pending.attempt
+        if attempt.splitter is not None:
+            if not attempt.splitter.is_at_boundary:
+                return self._fail_attempt(
+                    pending, Verdict.MAY_HAVE_RUN, "cut_in_event", now
                 )
-            effects = answers.start_stream(opened, self._book)
-        elif answers.is_worth_another(opened):
-            return self._fail(
-                opened,
+            effects = responses.start_stream(pending, self._health)
+        elif responses.should_retry_failure(pending):
+            return self._fail_attempt(
+                pending,
                 Verdict.RAN,
                 f"status_{attempt.head.status if attempt.head else 0}",
                 now,
             )
         else:
-            effects = answers.give_whole(opened)
+            effects = responses.send_buffered(pending)
         head = attempt.head
         if head is not None and head.status < 500:
-            self._book.note_success(attempt.replica)
-            if attempt.cutter is None or attempt.has_given:
-                self._guard.record_complete_response(opened.content, now)
+            self._health.record_success(attempt.replica)
+            if attempt.splitter is None or attempt.has_output:
+                self._guard.record_complete_response(pending.request_hash, now)
         elif head is not None:
-            self._book.note_failure(attempt.replica, now)
+            self._health.record_failure(attempt.replica, now)
         effects.append(events.FinishResponse(event.request_id))
-        return effects + self._close(opened, "answered", now)
+        return effects + self._finish(pending, "answered", now)
 
     # Failures.
 
-    def _fail(
+    def _fail_attempt(
         self,
-        opened: state.PendingRequest,
+        pending: state.PendingRequest,
         verdict: verdict_module.Verdict,
         reason: str,
         now: float,
     ) -> list[events.Effect]:
-        attempt = opened.attempt
+        attempt = pending.attempt
         assert attempt is not None
-        kept = attempt
+        failed_attempt = attempt
         if reason != "refused":
-            self._book.note_failure(attempt.replica, now)
+            self._health.record_failure(attempt.replica, now)
         if reason == model.CONNECT_TIMEOUT:
-            # Cut off or dark: the next request would lose the same time.
-            self._book.mark_stalled(attempt.replica, now)
+            # The replica is partitioned or down; the next request would lose
+            # the same time.
+            self._health.mark_stalled(attempt.replica, now)
         if verdict is Verdict.MAY_HAVE_RUN:
-            self._note_lost(opened, attempt, now)
-        effects = self._end_attempt(opened, verdict)
+            self._record_lost_run(pending, attempt, now)
+        effects = self._end_attempt(pending, verdict)
         effects.append(
             descriptions.describe_failure(
-                opened, kept, verdict=verdict, reason=reason, now=now
+                pending, failed_attempt, verdict=verdict, reason=reason, now=now
             )
         )
-        return effects + self._retry(opened, reason, now)
+        return effects + self._retry(pending, reason, now)
 
     def _end_attempt(
-        self, opened: state.PendingRequest, verdict: verdict_module.Verdict
+        self, pending: state.PendingRequest, verdict: verdict_module.Verdict
     ) -> list[events.Effect]:
-        attempt = opened.attempt
+        attempt = pending.attempt
         assert attempt is not None
-        self._release(opened)
-        opened.verdict = verdict_module.combine_verdicts(
-            opened.verdict, verdict
+        self._release(pending)
+        pending.verdict = verdict_module.combine_verdicts(
+            pending.verdict, verdict
         )
         if verdict is not Verdict.NOT_RUN:
-            opened.runs += 1
-        opened.failed.add(attempt.replica.name)
-        return [events.CancelAttempt(opened.request.request_id, attempt.number)]
+            pending.runs += 1
+        pending.failed_replicas.add(attempt.replica.name)
+        return [
+            events.CancelAttempt(pending.request.request_id, attempt.number)
+        ]
 
     def _retry(
-        self, opened: state.PendingRequest, reason: str, now: float
+        self, pending: state.PendingRequest, reason: str, now: float
     ) -> list[events.Effect]:
-        has_time = opened.ends_at - now > MIN_BUDGET_S
-        if not (has_time and opened.may_repeat and opened.attempts < MAX_SENDS):
-            return self._end_failed(opened, reason, now)
-        if not self._budgets.get_budget(opened.request.service).try_withdraw():
-            return self._end_failed(opened, "retry_budget_spent", now)
-        return self._try(opened, now)
+        has_time = pending.ends_at - now > MIN_BUDGET_S
+        if not (
+            has_time
+            and pending.may_repeat
+            and pending.attempt_count < MAX_SENDS
+        ):
+            return self._end_failed(pending, reason, now)
+        if not self._budgets.get_budget(pending.request.service).try_withdraw():
+            return self._end_failed(pending, "retry_budget_spent", now)
+        return self._try_send(pending, now)
 
     def _end_failed(
-        self, opened: state.PendingRequest, reason: str, now: float
+        self, pending: state.PendingRequest, reason: str, now: float
     ) -> list[events.Effect]:
-        if opened.started:
-            broken = events.AbortResponse(opened.request.request_id)
-            return [broken, *self._close(opened, f"broken_{reason}", now)]
+        if pending.started:
+            abort = events.AbortResponse(pending.request.request_id)
+            return [abort, *self._finish(pending, f"broken_{reason}", now)]
         return self._refuse(
-            opened, refusals.describe_failure(opened, reason), now
+            pending, refusals.describe_failure(pending, reason), now
         )
 
-    def _can_move(self, opened: state.PendingRequest, now: float) -> bool:
-        """Says whether a request surely finds another replica.
+    def _can_move(self, pending: state.PendingRequest, now: float) -> bool:
+        """Returns whether a request can certainly be sent to another replica.
 
-        One that gives nothing may still go on; to leave it without another
-        one would end an answer that could have come.
+        A stalled replica may still recover. Leaving it with no other replica
+        available would end a response that could have completed.
         """
-        attempt = opened.attempt
+        attempt = pending.attempt
         if (
             attempt is None
-            or not opened.request.route.is_retryable
-            or opened.runs + 1 >= opened.request.route.max_attempts
-            or opened.attempts >= MAX_SENDS
-            or opened.ends_at - now <= MIN_BUDGET_S
-            or not self._budgets.get_budget(opened.request.service).has_balance(
-                1
-            )
+            or not pending.request.route.is_retryable
+            or pending.runs + 1 >= pending.request.route.max_attempts
+            or pending.attempt_count >= MAX_SENDS
+            or pending.ends_at - now <= MIN_BUDGET_S
+            or not self._budgets.get_budget(
+                pending.request.service
+            ).has_balance(1)
         ):
             return False
         chosen = self._chooser.choose(
-            opened.request,
-            self._find_engine(opened.request.service),
-            avoid={*opened.failed, attempt.replica.name},
+            pending.request,
+            self._find_engine(pending.request.service),
+            avoid={*pending.failed_replicas, attempt.replica.name},
             may_probe=False,
             max_own_requests=self._find_max_own_requests(
-                opened.request.service
+                pending.request.service
             ),
             now=now,
         )
         return isinstance(chosen, choice_module.Choice)
 
-    def _leave_replica(
+    def _move_streams(
         self, stall: stalls.Stall, now: float
     ) -> list[events.Effect]:
-        """Moves all requests away from a replica that has stopped."""
+        """Moves streams from a stalled replica to others where possible."""
         replica = stall.replica
-        is_sure = stall.basis is stalls.Basis.RUNNING
-        self._book.mark_stalled(replica, now, is_sure=is_sure)
+        is_confirmed = stall.basis is stalls.Basis.RUNNING
+        self._health.mark_stalled(replica, now, is_confirmed=is_confirmed)
         streams = [
-            opened
-            for opened in self._open.values()
-            if opened.attempt is not None
-            and opened.attempt.replica.name == replica.name
-            and opened.request.is_stream
+            pending
+            for pending in self._pending.values()
+            if pending.attempt is not None
+            and pending.attempt.replica.name == replica.name
+            and pending.request.is_stream
         ]
         effects: list[events.Effect] = [
             descriptions.describe_stall(
-                stall, self._book.get(replica), len(streams), now
+                stall, self._health.get(replica), len(streams), now
             )
         ]
-        for opened in streams:
-            if self._can_move(opened, now):
-                effects += self._fail(
-                    opened, Verdict.MAY_HAVE_RUN, "stalled", now
+        for pending in streams:
+            if self._can_move(pending, now):
+                effects += self._fail_attempt(
+                    pending, Verdict.MAY_HAVE_RUN, "stalled", now
                 )
         return effects
 
-    # Ends.
+    # Ends of requests.
 
-    def _give_up(
-        self, opened: state.PendingRequest, now: float
+    def _expire(
+        self, pending: state.PendingRequest, now: float
     ) -> list[events.Effect]:
-        effects = self._end_unanswered(opened, now)
-        return effects + self._end_failed(opened, "deadline", now)
+        effects = self._cancel_current_attempt(pending, now)
+        return effects + self._end_failed(pending, "deadline", now)
 
     def _refuse_blocked(
-        self, opened: state.PendingRequest, blocked_s: float, now: float
+        self, pending: state.PendingRequest, blocked_s: float, now: float
     ) -> list[events.Effect]:
-        if opened.started:
-            return self._end_failed(opened, refusals.BLOCKED_REASON, now)
-        refusal = refusals.describe_block(opened, blocked_s)
-        return self._refuse(opened, refusal, now)
+        if pending.started:
+            return self._end_failed(pending, refusals.BLOCKED_REASON, now)
+        refusal = refusals.describe_block(pending, blocked_s)
+        return self._refuse(pending, refusal, now)
 
-    def _end_unanswered(
-        self, opened: state.PendingRequest, now: float
+    def _cancel_current_attempt(
+        self, pending: state.PendingRequest, now: float
     ) -> list[events.Effect]:
-        """Ends a try that is under way, if there is one."""
-        attempt = opened.attempt
+        """Cancels the current attempt, if there is one."""
+        attempt = pending.attempt
         if attempt is None:
             return []
-        if now - attempt.heard_at > SILENT_S:
-            self._note_lost(opened, attempt, now)
-        return self._end_attempt(opened, Verdict.MAY_HAVE_RUN)
+        if now - attempt.last_received_at > OUTPUT_TIMEOUT_S:
+            self._record_lost_run(pending, attempt, now)
+        return self._end_attempt(pending, Verdict.MAY_HAVE_RUN)
 
-    def _note_lost(
-        self, opened: state.PendingRequest, attempt: state.Attempt, now: float
+    def _record_lost_run(
+        self, pending: state.PendingRequest, attempt: state.Attempt, now: float
     ) -> None:
         replica = attempt.replica
         self._guard.record_lost_run(
-            opened.content, replica.name, replica.born, now
+            pending.request_hash, replica.name, replica.born, now
         )
 
-    def _leave(self, request_id: str, now: float) -> list[events.Effect]:
-        opened = self._open.get(request_id)
-        if opened is None:
+    def _handle_disconnect(
+        self, request_id: str, now: float
+    ) -> list[events.Effect]:
+        pending = self._pending.get(request_id)
+        if pending is None:
             return []
-        effects = self._end_unanswered(opened, now)
-        return effects + self._close(opened, "caller_left", now)
+        effects = self._cancel_current_attempt(pending, now)
+        return effects + self._finish(pending, "caller_left", now)
 
     def _refuse(
-        self, opened: state.PendingRequest, refusal: events.Refuse, now: float
+        self, pending: state.PendingRequest, refusal: events.Refuse, now: float
     ) -> list[events.Effect]:
         return [
             refusal,
-            *self._close(opened, f"refused_{refusal.reason}", now),
+            *self._finish(pending, f"refused_{refusal.reason}", now),
         ]
 
-    def _close(
-        self, opened: state.PendingRequest, outcome: str, now: float
+    def _finish(
+        self, pending: state.PendingRequest, outcome: str, now: float
     ) -> list[events.Effect]:
-        self._release(opened)
-        request = opened.request
-        del self._open[request.request_id]
+        self._release(pending)
+        request = pending.request
+        del self._pending[request.request_id]
         return [
             descriptions.describe_end(
-                opened,
+                pending,
                 outcome,
                 version=self.document.version if self.document else 0,
                 now=now,
             )
         ]
 
-    def _release(self, opened: state.PendingRequest) -> None:
-        attempt = opened.attempt
+    def _release(self, pending: state.PendingRequest) -> None:
+        attempt = pending.attempt
         if attempt is None:
             return
-        seen = self._book.get(attempt.replica)
-        seen.own_requests -= 1
-        if not attempt.has_given:
-            seen.reading -= opened.request.metadata.prompt_tokens
-        opened.attempt = None
+        stats = self._health.get(attempt.replica)
+        stats.own_requests -= 1
+        if not attempt.has_output:
+            stats.prefill_tokens -= pending.request.metadata.prompt_tokens
+        pending.attempt = None
 
     def _find_max_own_requests(self, service: str) -> int | None:
         """Returns how many requests of this gateway a replica may run at once.
--- a/src/hickorylead/forwarding/header_codec.py
+++ b/src/hickorylead/forwarding/header_codec.py
@@ -1,7 +1,7 @@
-"""How a deployment's callers and replicas write what this package decides on.
+"""Interface that decodes and encodes a deployment's headers and bodies.
 
-Deployments differ in the names of headers and the shape of bodies. A dialect
-turns them into the types here, and back; it decides nothing.
+Deployments differ in the names of headers and the shape of bodies. A codec
+translates them to and from the types of this package and makes no decisions.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class HeaderCodec(Protocol):
-    """Names and formats between callers, this system and replicas."""
+    """Codec between callers, this system and replicas."""
 
     def decode_metadata(
         self, headers: Iterable[model.Header]
     ) -> model.RequestMetadata | str:
-        """Returns what a caller says, or what is wrong with its headers."""
+        """Returns the caller's metadata, or what is wrong with its headers."""
 
     def list_forwarded_headers(
         self, headers: Iterable[model.Header], workspace: str
     ) -> tuple[model.Header, ...]:
-        """Returns the headers to pass on, whatever the attempt."""
+        """Returns the headers to forward, the same for every attempt."""
 
     def encode_request_head(self, attempt: events.StartAttempt) -> bytes:
         """Returns the head of a request to a replica."""
@@ -33,9 +33,9 @@
     def decode_response_head(
         self, status: int, headers: Sequence[model.Header]
     ) -> model.ResponseHead:
-        """Returns the head of a replica's answer."""
+        """Returns the decoded head of a replica's response."""
 
     def write_refusal(
         self, refusal: events.Refuse, attempt_id: str
     ) -> tuple[tuple[model.Header, ...], bytes]:
-        """Returns headers and body of an answer of our own."""
+        """Returns the headers and body of a refusal."""
--- a/src/hickorylead/forwarding/model.py
+++ b/src/hickorylead/forwarding/model.py
@@ -1,4 +1,4 @@
-"""A request that is forwarded, and what replicas and callers say about it."""
+"""Forwarded requests, their metadata, replicas and response heads."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 Header = tuple[bytes, bytes]
 
-# Why an attempt ended before it was sent: nothing answered in time.
+# Reason of an attempt that ended before it was sent: the replica did not accept
+# the connection in time.
 CONNECT_TIMEOUT = "connect_timeout"
 
 
 @attrs.frozen
 class RequestMetadata:
-    """What a caller says about a request, decoded from its headers.
+    """Metadata of a request, decoded from the caller's headers.
 
     Attributes:
         attempt_id: The caller's id of this submission; replicas echo it.
-        budget_s: How long the caller will wait, in seconds; None if unsaid.
-        key: Key of a workspace; empty if none was shown.
-        model: Model that it asks for; empty for plain services.
+        budget_s: How long the caller will wait, in seconds; None if not given.
+        key: Key of a workspace; empty if none was sent.
+        model: Requested model; empty for plain services.
         prompt_tokens: Tokens of its prompt.
-        max_output_tokens: Most tokens of its answer.
+        max_output_tokens: Largest number of tokens of its response.
         last_event_id: Id of the last event that the caller has; 0 if none.
     """
 
@@ -40,18 +41,18 @@
     """A request as it is forwarded.
 
     Attributes:
-        request_id: This gateway's own name for it.
-        metadata: What the caller says about it.
+        request_id: This gateway's id of the request.
+        metadata: Metadata that the caller sent.
         route: Its route.
         service: Service that was drawn from the route.
         workspace: Name of the caller's workspace; empty if none.
         method: HTTP method.
         target: Path and query, byte for byte as the caller sent them.
-        headers: Headers to pass on.
-        body: The whole body.
+        headers: Headers to forward.
+        body: The complete body.
         urgency: Priority of its workspace or route; 0 is the most urgent.
-        waited_s: How long it has waited here before it could be forwarded, in
-            seconds.
+        waited_s: How long it waited at this gateway before it could be
+            forwarded, in seconds.
     """
 
     request_id: str
@@ -68,13 +69,13 @@
 
     @property
     def is_stream(self) -> bool:
-        """Says whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return self.route.kind is document_module.RouteKind.STREAM
 
 
 @attrs.frozen
 class Load:
-    """Load that a replica told with an answer."""
+    """Load that a replica reported with a response."""
 
     running: int
     waiting: int
@@ -83,24 +84,25 @@
 
 @attrs.frozen
 class ResponseHead:
-    """The head of a replica's answer, decoded.
+    """The decoded head of a replica's response.
 
     Attributes:
         status: HTTP status.
-        headers: Headers to pass on to the caller.
-        echoed_attempt_id: The attempt id that the replica repeats; empty if
+        headers: Headers to forward to the caller.
+        echoed_attempt_id: The attempt id that the replica echoed; empty if
             none.
         is_signed: Whether the replica signed it.
-        not_run: Whether the replica says that it did not run the request.
-        has_content_encoding: Whether something on the way changed the body's
-            encoding.
-        load: The replica's load, if told.
-        limit_per_s: Requests a second that the replica takes from all gateways
-            together, as long as it says so; None if it takes what comes.
-        retry_after_s: How long the replica wants no request from this gateway,
-            in seconds; None if unsaid.
-        is_leaving: Whether the replica is about to end.
-        malformed_headers: Names of headers whose values can't be read.
+        not_run: Whether the replica states that it did not run the request.
+        has_content_encoding: Whether an intermediary changed the encoding of
+            the body.
+        load: The replica's load; None if not reported.
+        limit_per_s: Requests a second that the replica accepts from all
+            gateways together, for as long as it names the limit; None if
+            unlimited.
+        retry_after_s: How long this gateway should send the replica no request,
+            in seconds; None if not given.
+        is_leaving: Whether the replica is about to stop.
+        malformed_headers: Names of headers with malformed values.
         faulty_server: The server that a refusal names as at fault, such as a
             lost member of the group; empty if it names none.
     """
@@ -121,18 +123,19 @@
 
 @attrs.frozen
 class Replica:
-    """Where requests can be sent: a group's head, or a plain server.
+    """Destination of requests: a group's head, or a plain server.
 
     Attributes:
-        name: Instance that takes the requests.
+        name: Instance that receives the requests.
         service: Its service.
         model: Its model; empty for plain services.
         address: `ip:port`.
         zone: Its availability zone.
         slots: Requests that it runs at once.
         epoch: Fencing number of the group; 0 for plain services.
-        is_silent: Whether control nodes have not heard it for long.
-        born: When its present life began, in Unix milliseconds; 0 if unsaid.
+        is_missing: Whether control nodes miss its heartbeats.
+        born: When its present incarnation started, in Unix milliseconds; 0 if
+            unknown.
     """
 
     name: str
@@ -142,5 +145,5 @@
     zone: str
     slots: int
     epoch: int = 0
-    is_silent: bool = False
+    is_missing: bool = False
     born: int = 0
--- a/src/hickorylead/forwarding/ranks.py
+++ b/src/hickorylead/forwarding/ranks.py
@@ -1,4 +1,4 @@
-"""Which requests go first where replicas are scarce."""
+"""Order of requests that compete for replicas."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 if TYPE_CHECKING:
     from hickorylead.forwarding import state
 
-# Ranks that engines know, 0 first.
+# Engines accept the ranks 0, which goes first, to this one.
 LAST_RANK = 9
-# Between two priorities of routes or workspaces there is room for the
-# difference below, so that it never passes over a priority.
+# Each priority of routes or workspaces has two ranks, so that a resumed stream
+# goes before new requests of its priority but never before a more urgent one.
 RANKS_PER_PRIORITY = 2
 
 
-def find_rank(opened: state.PendingRequest) -> int:
+def find_rank(pending: state.PendingRequest) -> int:
     """Returns the rank of a request among others, 0 first.
 
-    The operators' priorities come first. Within one, a stream that its caller
-    already reads goes before newcomers, since its next event is awaited within
-    the longest pause.
+    The operators' priorities come first. Within one, a stream whose caller has
+    already received a part of it goes before new requests, since its next event
+    is due within the longest allowed event gap.
     """
-    rank = 1 + RANKS_PER_PRIORITY * opened.request.urgency
-    if opened.started:
+    rank = 1 + RANKS_PER_PRIORITY * pending.request.urgency
+    if pending.started:
         rank -= 1
     return min(LAST_RANK, rank)
--- a/src/hickorylead/forwarding/refusals.py
+++ b/src/hickorylead/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of our own to requests that no replica answered."""
+"""Refusals of requests that no replica completed."""
 
 from __future__ import annotations
 
@@ -11,84 +11,88 @@
 if TYPE_CHECKING:
     from hickorylead.forwarding import choice as choice_module, state
 
-# A request that finds every replica full, or none, waits here for one up to
-# this share of its objective; after that it is told when to come back.
+# A request that finds no replica, or only full ones, waits at the gateway for
+# up to this share of its objective; after that it is refused with a retry time.
 WAIT_SHARE = 0.4
-# When callers come back to a service whose replicas are full, in seconds: a
-# few of their requests end in that time.
+# Retry time for a service whose replicas are all full, in seconds: a few of
+# their requests end in that time.
 FULL_RETRY_S = 0.4
-# And to one without any replica: a group is formed anew in about a second.
-NONE_RETRY_S = 0.8
-# Reason of a request that no replica gets.
+# Retry time for a service without any replica, in seconds: a new group is
+# formed in about a second.
+NO_REPLICA_RETRY_S = 0.8
+# Reason code of a request that is blocked because it ended servers.
 BLOCKED_REASON = "ends_servers"
-# Returns are spread by this share around the usual time.
-SPREAD_SHARE = 0.3
+# Retry times vary by up to this share around the usual time.
+JITTER_SHARE = 0.3
 
 
-def may_wait(opened: state.PendingRequest, now: float) -> bool:
-    """Says whether a request may wait for a replica."""
-    if opened.started:
-        # Its caller holds a part of the answer; the rest is worth a wait.
+def may_wait(pending: state.PendingRequest, now: float) -> bool:
+    """Returns whether a request may wait for a replica."""
+    if pending.started:
+        # The caller already has a part of the response: waiting is better than
+        # aborting it.
         return True
-    wait_s = WAIT_SHARE * opened.request.route.objective_s
-    return now - opened.arrived_at < wait_s
+    wait_s = WAIT_SHARE * pending.request.route.objective_s
+    return now - pending.arrived_at < wait_s
 
 
 def describe_no_choice(
-    opened: state.PendingRequest, chosen: choice_module.NoChoice
+    pending: state.PendingRequest, chosen: choice_module.NoChoice
 ) -> events.Refuse:
-    """Returns the answer to a request that no replica can take."""
+    """Returns the refusal of a request that no replica can accept."""
     if chosen.withheld is not None:
-        return _refuse(opened, "limited", chosen.permit_s or FULL_RETRY_S)
+        return _refuse(pending, "limited", chosen.permit_s or FULL_RETRY_S)
     if chosen.is_full:
-        return _refuse(opened, "overloaded", FULL_RETRY_S)
+        return _refuse(pending, "overloaded", FULL_RETRY_S)
     if chosen.pause_s:
-        return _refuse(opened, "paused", chosen.pause_s)
-    return _refuse(opened, "no_replica", NONE_RETRY_S)
+        return _refuse(pending, "paused", chosen.pause_s)
+    return _refuse(pending, "no_replica", NO_REPLICA_RETRY_S)
 
 
 def describe_block(
-    opened: state.PendingRequest, left_s: float
+    pending: state.PendingRequest, left_s: float
 ) -> events.Refuse:
-    """Returns the answer to a request that ended the servers which ran it.
+    """Returns the refusal of a request that ended the servers that ran it.
 
-    To come back sooner is of no use: all gateways refuse it until then.
+    All gateways refuse the request until the block ends, so the retry time is
+    the time left until then.
     """
-    if opened.verdict is not verdict_module.Verdict.NOT_RUN:
-        return _refuse(opened, BLOCKED_REASON, None)
-    return events.Refuse(opened.request.request_id, 503, BLOCKED_REASON, left_s)
+    if pending.verdict is not verdict_module.Verdict.NOT_RUN:
+        return _refuse(pending, BLOCKED_REASON, None)
+    return events.Refuse(
+        pending.request.request_id, 503, BLOCKED_REASON, left_s
+    )
 
 
 def describe_failure(
-    opened: state.PendingRequest, reason: str
+    pending: state.PendingRequest, reason: str
 ) -> events.Refuse:
-    """Returns the answer to a request whose tries all failed."""
+    """Returns the refusal of a request whose attempts all failed."""
     retry_s = None if reason == "deadline" else FULL_RETRY_S
-    return _refuse(opened, reason, retry_s)
+    return _refuse(pending, reason, retry_s)
 
 
 def jitter_retry_after(request_id: str, retry_s: float) -> float:
-    """Returns when one caller should come back, in seconds.
+    """Returns the retry time for one caller, in seconds.
 
-    Callers that were refused in one moment would come back in one moment, and
-    find the replicas full again. Each gets a time of its own around the usual
-    one.
+    Callers that are refused at the same moment would retry at the same moment
+    and find the replicas full again, so each gets a slightly different time.
     """
     digest = hashlib.blake2b(request_id.encode(), digest_size=2).digest()
     share = int.from_bytes(digest) / 65535
-    return retry_s * (1.0 + SPREAD_SHARE * (2.0 * share - 1.0))
+    return retry_s * (1.0 + JITTER_SHARE * (2.0 * share - 1.0))
 
 
 def _refuse(
-    opened: state.PendingRequest, reason: str, retry_s: float | None
+    pending: state.PendingRequest, reason: str, retry_s: float | None
 ) -> events.Refuse:
-    # 503 promises that the request has not run; only a request that surely
-    # has not, or that may run again anyway, gets it. A caller must not repeat
-    # the others, so they get a status that promises nothing.
-    request_id = opened.request.request_id
+    # Status 503 states that the request has not run, so only a request that
+    # certainly has not run gets it. Callers must not repeat the others, which
+    # get a status that says nothing about it.
+    request_id = pending.request.request_id
     if retry_s is not None:
         retry_s = jitter_retry_after(request_id, retry_s)
-    if opened.verdict is verdict_module.Verdict.NOT_RUN:
+    if pending.verdict is verdict_module.Verdict.NOT_RUN:
         return events.Refuse(request_id, 503, reason, retry_s)
     return events.Refuse(
         request_id, 504 if reason == "deadline" else 502, reason
--- a/src/hickorylead/forwarding/replica_directory.py
+++ b/src/hickorylead/forwarding/replica_directory.py
@@ -1,4 +1,4 @@
-"""The replicas that a gateway may use, from what backend servers tell."""
+"""The replicas that a gateway may use, derived from the server registry."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
     """Replicas by service and model, kept up to date with a registry."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
-        """Makes a view.
+        """Makes a directory.
 
         Args:
-            registry: Backend servers that the gateway knows.
+            registry: Backend servers known to the gateway.
         """
         self._registry = registry
         self._document: document_module.Document | None = None
-        self._seen = (-1, -1)
+        self._built_versions = (-1, -1)
         self._replicas: dict[tuple[str, str], list[model.Replica]] = {}
         self._by_name: dict[str, model.Replica] = {}
 
     def set_document(self, document: document_module.Document) -> None:
-        """Takes the configuration in force."""
+        """Sets the configuration in force."""
         self._document = document
 
     def _refresh(self) -> None:
-        """Looks at all servers again if anything changed since.
+        """Rebuilds the replicas if the registry or the configuration changed.
 
-        Only when somebody asks: while many groups form, 30 news a second came
-        to a gateway that had two requests a second.
+        This is done on look-up and not on each update: while many groups form,
+        a gateway with two requests a second receives 30 updates a second.
         """
         document = self._document
         if document is None:
             return
-        seen = (self._registry.changes, document.version)
-        if seen == self._seen:
+        versions = (self._registry.changes, document.version)
+        if versions == self._built_versions:
             return
-        self._seen = seen
+        self._built_versions = versions
         self._replicas = collections.defaultdict(list)
         present = self._registry.list_present()
         by_service = collections.defaultdict(list)
@@ -73,7 +73,7 @@
         return len(self._by_name)
 
     def find(self, name: str) -> model.Replica | None:
-        """Returns the replica whose requests an instance takes."""
+        """Returns the replica whose requests an instance receives."""
         self._refresh()
         return self._by_name.get(name)
 
@@ -92,13 +92,13 @@
     ) -> None:
         groups = groups_module.collect_groups(found)
         for _, group in sorted(groups.items()):
-            figures = engine.find_model(group.model)
-            if figures is None or not groups_module.may_serve(group, figures):
+            profile = engine.find_model(group.model)
+            if profile is None or not groups_module.may_serve(group, profile):
                 continue
             head = group.head
             assert head is not None
-            self._replicas[service, figures.name].append(
-                _make_replica(head, figures.name, engine.slots)
+            self._replicas[service, profile.name].append(
+                _make_replica(head, profile.name, engine.slots)
             )
 
 
@@ -113,6 +113,6 @@
         zone=instance.zone,
         slots=max(1, slots),
         epoch=instance.member.epoch,
-        is_silent=instance.silent,
+        is_missing=instance.silent,
         born=instance.born,
     )
--- a/src/hickorylead/forwarding/routes.py
+++ b/src/hickorylead/forwarding/routes.py
@@ -27,19 +27,19 @@
 
 @attrs.frozen
 class NoRoute:
-    """No route takes the request."""
+    """No route matches the request."""
 
 
 @attrs.frozen
 class InvalidKey:
-    """The caller showed no valid key."""
+    """The caller sent no valid key."""
 
 
 class RouteTable:
-    """The routes and keys of one configuration, arranged for look-up."""
+    """The routes and keys of one configuration, indexed for look-up."""
 
     def __init__(self, document: document_module.Document) -> None:
-        """Arranges a configuration.
+        """Indexes a configuration.
 
         Args:
             document: The configuration in force.
@@ -58,12 +58,12 @@
     def find(
         self, host: str, path: str, key: str
     ) -> RouteMatch | NoRoute | InvalidKey:
-        """Returns where a request goes.
+        """Returns the route and workspace of a request, or why it has none.
 
         Args:
             host: Value of its `Host` header.
             path: Its path, as the caller sent it.
-            key: Key that the caller showed; empty if none.
+            key: Key that the caller sent; empty if none.
         """
         route = self._find_route(host, path)
         if route is None:
@@ -81,8 +81,8 @@
             routes = self._by_host.get(host.partition(":")[0].lower())
         if not routes:
             return None
-        # Every prefix ends with a slash, so only the starts of the path up to
-        # a slash can match; hundreds of routes cost no more than a few.
+        # Every prefix ends with a slash, so only the parts of the path up to a
+        # slash can match. The cost does not grow with the number of routes.
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             route = routes.get(path[: end + 1])
--- a/src/hickorylead/forwarding/state.py
+++ b/src/hickorylead/forwarding/state.py
@@ -14,76 +14,77 @@
 
 @attrs.frozen
 class Choice:
-    """What a replica was chosen by, for the log.
+    """Why a replica was chosen, for the log.
 
     Attributes:
-        weighed: Replicas that were weighed.
+        candidates: Replicas whose estimates were compared.
         estimate_s: Estimated time to the first token, in seconds.
-        running: Own requests that ran there.
-        told_ago_s: Age of the load that it told; None if it told none.
-        limit_per_s: Limit that it had named here by then; None if none.
-        paused: Replicas that were known here to want no request.
+        running: Own requests that were running on the replica.
+        load_age_s: Age of its last load report, in seconds; None if none.
+        limit_per_s: Rate limit that it had named by then; None if none.
+        paused: Number of replicas that were paused.
     """
 
-    weighed: int = 0
+    candidates: int = 0
     estimate_s: float = 0.0
     running: int = 0
-    told_ago_s: float | None = None
+    load_age_s: float | None = None
     limit_per_s: float | None = None
     paused: int = 0
 
 
 @attrs.define
 class Attempt:
-    """One try at one replica.
+    """One attempt on one replica.
 
     Attributes:
         number: From 1.
-        replica: Where.
-        choice: What it was chosen by, and the load seen then.
+        replica: The replica.
+        choice: Why it was chosen, and its load at that time.
         sent_at: When it was sent.
-        heard_at: When the replica last gave something to it.
-        head: Head of the answer, once it came.
-        body: Body so far, of an answer that is given whole.
-        cutter: Cuts a stream into events; None for other answers.
-        has_given: Whether any whole event came.
+        last_received_at: When anything of the response last arrived.
+        head: Head of the response; None until it arrives.
+        body: Body so far, of a response that is buffered until complete.
+        splitter: Splits a stream into events; None for other responses.
+        has_output: Whether a complete event arrived.
     """
 
     number: int
     replica: model.Replica
     sent_at: float
-    heard_at: float
+    last_received_at: float
     head: model.ResponseHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
-    cutter: stream.EventCutter | None = None
-    has_given: bool = False
+    splitter: stream.EventSplitter | None = None
+    has_output: bool = False
     choice: Choice = Choice()
 
 
 @attrs.define
 class PendingRequest:
-    """A request without a final answer.
+    """A request whose response has not ended.
 
     Attributes:
         request: The request.
-        arrived_at: When it came.
-        ends_at: When its caller or its route gives it up.
+        arrived_at: When it arrived.
+        ends_at: Deadline set by its caller or its route.
         phase: Whether it waits for a replica or runs.
-        attempt: The present try.
-        attempts: Tries so far.
-        runs: Tries that may have run.
-        failed: Replicas that it failed at.
-        verdict: What is known of its former tries.
-        started: Whether the caller has the head of the answer.
+        attempt: The current attempt.
+        attempt_count: Number of attempts so far.
+        runs: Number of attempts that may have run.
+        failed_replicas: Replicas on which it failed.
+        verdict: Whether one of its previous attempts may have run.
+        started: Whether the caller has the head of the response.
         last_event_id: Id of the last event that the caller has.
-        offered: Whether it was ever sent to a replica.
-        last: The last try, for the log.
-        first_event_s: Time to the first event, in seconds; None if none came.
+        was_sent: Whether it was ever sent to a replica.
+        last_attempt: The latest attempt, for the log.
+        first_event_s: Time to the first event, in seconds; None if none
+            arrived.
         first_sent_at: When it was first sent to a replica; None if it never
             was.
-        event_at: When its caller was last given an event.
-        longest_pause_s: Longest time between two events, in seconds.
-        content: Hash of what is asked for, the same when it is asked again.
+        last_event_at: When its caller was last sent an event.
+        longest_gap_s: Longest time between two events, in seconds.
+        request_hash: Hash of what is requested; the same for each submission.
     """
 
     request: model.Request
@@ -91,32 +92,32 @@
     ends_at: float
     phase: Phase = "waiting"
     attempt: Attempt | None = None
-    attempts: int = 0
+    attempt_count: int = 0
     runs: int = 0
-    failed: set[str] = attrs.field(factory=set)
+    failed_replicas: set[str] = attrs.field(factory=set)
     verdict: verdict_module.Verdict = verdict_module.Verdict.NOT_RUN
     started: bool = False
     last_event_id: int = 0
-    offered: bool = False
-    last: Attempt | None = None
+    was_sent: bool = False
+    last_attempt: Attempt | None = None
     first_event_s: float | None = None
     first_sent_at: float | None = None
-    event_at: float = 0.0
-    longest_pause_s: float = 0.0
-    content: int = 0
+    last_event_at: float = 0.0
+    longest_gap_s: float = 0.0
+    request_hash: int = 0
 
-    def note_events(self, now: float) -> None:
-        """Takes that its caller is given events."""
+    def record_events(self, now: float) -> None:
+        """Records that events are sent to the caller."""
         if self.first_event_s is None:
             self.first_event_s = now - self.arrived_at
         else:
-            pause_s = now - self.event_at
-            self.longest_pause_s = max(self.longest_pause_s, pause_s)
-        self.event_at = now
+            gap_s = now - self.last_event_at
+            self.longest_gap_s = max(self.longest_gap_s, gap_s)
+        self.last_event_at = now
 
     @property
     def may_repeat(self) -> bool:
-        """Says whether the request may run on one more replica."""
+        """Whether the request may run on one more replica."""
         if self.verdict is verdict_module.Verdict.NOT_RUN:
             return True
         return (
--- a/src/hickorylead/forwarding/stream.py
+++ b/src/hickorylead/forwarding/stream.py
@@ -1,7 +1,7 @@
-"""Server-sent events of an answer: whole events only, in order, once.
+"""Splits a stream into complete server-sent events, in order, each once.
 
-A replica may stop in the middle of an event. Only whole events are passed on,
-so that another replica can go on after the last one.
+A replica may stop in the middle of an event. Only complete events are
+forwarded, so that another replica can resume the stream after the last one.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 import attrs
 
 _END = b"\n\n"
-# A replica that sends bytes without ever ending an event must not fill the
-# memory; events of the deployments that we know have some 100 bytes.
+# A replica that sends bytes without ever ending an event must not exhaust the
+# memory; events of known deployments have some 100 bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 @attrs.frozen
-class Cut:
-    """What a piece of a stream amounts to.
+class SplitResult:
+    """Events that a chunk of a stream completes.
 
     Attributes:
-        data: Whole events to pass on.
-        events: How many these are.
-        problem: Stable code of what is wrong with the stream; empty if fine.
+        data: Complete events to forward.
+        events: Number of these events.
+        problem: Stable code of a fault of the stream; empty if there is none.
     """
 
     data: bytes
@@ -29,11 +29,11 @@
     problem: str = ""
 
 
-class EventCutter:
-    """Cuts one answer into events and drops those that the caller has."""
+class EventSplitter:
+    """Splits one response into events and drops those that the caller has."""
 
     def __init__(self, last_event_id: int) -> None:
-        """Makes a cutter at the start of an answer.
+        """Makes a splitter for the start of a response.
 
         Args:
             last_event_id: Id of the last event that the caller has.
@@ -42,37 +42,38 @@
         self._rest = b""
 
     @property
-    def is_between(self) -> bool:
-        """Says whether the answer stopped between two events."""
+    def is_at_boundary(self) -> bool:
+        """Whether the data so far ends between two events."""
         return not self._rest.strip()
 
-    def feed(self, data: bytes) -> Cut:
-        """Takes a piece of the answer."""
+    def feed(self, data: bytes) -> SplitResult:
+        """Handles a chunk of the response; returns the events it completes."""
         rest = self._rest + data
-        given: list[bytes] = []
+        passed: list[bytes] = []
         problem = ""
         while (end := rest.find(_END)) >= 0:
             event = rest[: end + len(_END)]
             rest = rest[end + len(_END) :]
-            number = read_event_id(event)
+            number = parse_event_id(event)
             if number is None:
-                given.append(event)
+                passed.append(event)
                 continue
             if number <= self.last_event_id:
-                # A replica that was asked to go on may begin before.
+                # A replica may resume a stream at an earlier event than
+                # requested.
                 continue
             if number != self.last_event_id + 1:
                 problem = "event_gap"
                 break
             self.last_event_id = number
-            given.append(event)
+            passed.append(event)
         self._rest = rest
         if len(rest) > MAX_EVENT_BYTES:
             problem = "event_too_long"
-        return Cut(b"".join(given), len(given), problem)
+        return SplitResult(b"".join(passed), len(passed), problem)
 
 
-def read_event_id(event: bytes) -> int | None:
+def parse_event_id(event: bytes) -> int | None:
     """Returns the id of an event; None if it has none."""
     for line in event.split(b"\n"):
         name, colon, value = line.partition(b":")
--- a/src/hickorylead/rendezvous.py
+++ b/src/hickorylead/rendezvous.py
@@ -10,15 +10,15 @@
 
 
 def score_name(key: str, name: str) -> int:
-    """Returns the weight of a name for a key; the highest one is chosen."""
+    """Returns the score of a name for a key; the highest one is chosen."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
-    """Returns the names, the first choice for the key first.
+    """Returns the names by descending score for the key.
 
-    When a name is removed only the keys that chose it move, and they spread
-    over all the names that remain.
+    When a name is removed, only the keys that chose it move, and they are
+    distributed over all remaining names.
     """
     return sorted(names, key=lambda name: (-score_name(key, name), name))
--- a/src/hickorylead/verdict.py
+++ b/src/hickorylead/verdict.py
@@ -6,10 +6,10 @@
 
 
 class Verdict(enum.Enum):
-    """What the system knows about one submission of a request.
+    """Whether one submission of a request may have run.
 
-    NOT_RUN is only used when no byte left for a backend server, or when the
-    server itself, under its own name, said that it did not start the request.
+    NOT_RUN is only used when no byte was sent to a backend server, or when the
+    server itself, under its own name, stated that it did not start the request.
     """
 
     NOT_RUN = "not_run"
--- a/tests/crashes/guard.feature
+++ b/tests/crashes/guard.feature
@@ -60,12 +60,12 @@
   Scenario: A stream that is blocked after its first events ends as cut
     Given a gateway with 3 replicas of each kind
     When a stream has 3 events, is blocked and then reset
-    Then the answer ends so that it does not look whole
+    Then the response is aborted and does not look complete
 
   Scenario: A blocked request that waits for a replica is refused at once
     Given a gateway with 0 replicas of each kind
     When a call waits for a replica and is blocked
-    Then it ends with status 503 and a time to come back
+    Then it ends with status 503 and a retry time
 
   Scenario: A block ends by itself at a gateway that hears nobody any more
     Given a gateway with 3 replicas of each kind
--- a/tests/forwarding/routes.feature
+++ b/tests/forwarding/routes.feature
@@ -1,6 +1,6 @@
 Feature: Routes and keys
 
-  Scenario Outline: The longest prefix of the host takes the request
+  Scenario Outline: The route of the host with the longest matching prefix is used
     Given routes for "/", "/a/" and "/a/b/" of host "one", "/a/" of host "two"
     Then "<path>" of host "<host>" goes to <route>
 
@@ -15,17 +15,17 @@
       | three | /a/      | none    |
       | one   | /a/../x/ | one/a   |
 
-  Scenario: A key that was taken away is not valid any more
+  Scenario: Only a known key is accepted
     Given a route that needs a key of workspace "crew"
-    Then key "right" is let in as "crew"
+    Then key "right" is accepted as workspace "crew"
     And key "wrong" is refused
-    And no key is refused
+    And a request without a key is refused
 
-  Scenario: Services are drawn by their weights
+  Scenario: Services are chosen at random by their weights
     Given a route to service "old" with weight 90 and "new" with weight 10
     Then of 1000 requests 850 to 950 go to "old"
 
-  Scenario Outline: A configuration that cannot be followed is refused
+  Scenario Outline: An invalid configuration is refused
     Given a configuration with <fault>
     Then it is refused because "<reason>"
 
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Steps about forwarded requests, with replicas played by the test."""
+"""Steps about forwarded requests; the test acts as the replicas."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 @when("a non-idempotent call is reset")
 def _(context):
-    play = context.play
-    context.name = play.send_request("alerts")
-    play.deliver(
+    harness = context.play
+    context.name = harness.send_request("alerts")
+    harness.deliver(
         events.AttemptFailed(context.name, 1, Verdict.MAY_HAVE_RUN, "reset")
     )
-    play.advance(0.2)
+    harness.advance(0.2)
 
 
 @then("it was sent once and ends with status {status:d}")
@@ -48,7 +48,7 @@
 
 
 def assert_refused(context, status):
-    """Asserts the status of our own answer; returns it with its time."""
+    """Asserts the status of a refusal; returns the refusal with its time."""
     found = context.play.list_effects(context.name, events.Refuse)
     assert len(found) == 1, found
     assert found[0][1].status == status, found
@@ -58,23 +58,23 @@
 REFUSED = model.ResponseHead(503, not_run=True)
 
 
-@when("a non-idempotent call is refused as not run and then answered")
+@when("a non-idempotent call is refused as not run and then completed")
 def _(context):
-    play = context.play
-    context.name = play.send_request("alerts")
-    play.send_head(context.name, REFUSED)
-    play.respond(context.name)
+    harness = context.play
+    context.name = harness.send_request("alerts")
+    harness.send_head(context.name, REFUSED)
+    harness.respond(context.name)
 
 
 @then("it was sent twice to different replicas and ends with status 200")
 def _(context):
-    play = context.play
-    if not play.list_effects(context.name, events.FinishResponse):
-        play.respond(context.name)
+    harness = context.play
+    if not harness.list_effects(context.name, events.FinishResponse):
+        harness.respond(context.name)
     assert_two_replicas(context)
-    found = play.list_effects(context.name, events.StartResponse)
+    found = harness.list_effects(context.name, events.StartResponse)
     assert [e.status for _, e in found] == [200], found
-    assert play.list_effects(context.name, events.FinishResponse)
+    assert harness.list_effects(context.name, events.FinishResponse)
 
 
 @then("it was sent twice to different replicas")
@@ -83,7 +83,7 @@
 
 
 def assert_two_replicas(context):
-    """Asserts two tries at two replicas."""
+    """Asserts two attempts on two replicas."""
     names = [
         sent.replica.name for sent in context.play.list_attempts(context.name)
     ]
@@ -92,80 +92,80 @@
 
 @when("a non-idempotent call is refused by every replica")
 def _(context):
-    play = context.play
-    context.name = play.send_request("alerts")
-    play.send_head(context.name, REFUSED)
-    play.send_head(context.name, REFUSED)
-    play.advance(0.2)
+    harness = context.play
+    context.name = harness.send_request("alerts")
+    harness.send_head(context.name, REFUSED)
+    harness.send_head(context.name, REFUSED)
+    harness.advance(0.2)
 
 
-@then("it ends with status 503 and a time to come back")
+@then("it ends with status 503 and a retry time")
 def _(context):
     _, refusal = assert_refused(context, 503)
     assert refusal.retry_after_s
 
 
-@when("{count:d} non-idempotent calls come at once")
+@when("{count:d} non-idempotent calls arrive at once")
 def _(context, count):
-    play = context.play
-    context.names = [play.send_request("alerts") for _ in range(count)]
-    play.advance(0.2)
+    harness = context.play
+    context.names = [harness.send_request("alerts") for _ in range(count)]
+    harness.advance(0.2)
 
 
-@then("their times to come back spread over {spread:g} seconds or more")
+@then("their retry times differ by {spread:g} seconds or more")
 def _(context, spread):
-    play = context.play
+    harness = context.play
     times = [
-        play.list_effects(name, events.Refuse)[0][1].retry_after_s
+        harness.list_effects(name, events.Refuse)[0][1].retry_after_s
         for name in context.names
     ]
     assert max(times) - min(times) >= spread, (min(times), max(times))
     assert len(set(times)) > 50
 
 
-@when("an idempotent call gets the answer to another request")
+@when("an idempotent call gets the response to another request")
 def _(context):
-    play = context.play
-    context.name = play.send_request("notices")
-    play.send_head(
+    harness = context.play
+    context.name = harness.send_request("notices")
+    harness.send_head(
         context.name,
         attrs.evolve(forwarder_harness.OK, echoed_attempt_id="someone else's"),
     )
 
 
-@when("an idempotent call gets a success that no replica signed")
+@when("an idempotent call gets a success that is not signed")
 def _(context):
-    play = context.play
-    context.name = play.send_request("notices")
-    echo = play.list_attempts()[-1].request.metadata.attempt_id
-    play.send_head(
+    harness = context.play
+    context.name = harness.send_request("notices")
+    echo = harness.list_attempts()[-1].request.metadata.attempt_id
+    harness.send_head(
         context.name, model.ResponseHead(200, echoed_attempt_id=echo)
     )
 
 
-@when("an idempotent call is not answered for {seconds:g} seconds")
+@when("an idempotent call gets no response for {seconds:g} seconds")
 def _(context, seconds):
     context.name = context.play.send_request("notices")
     context.play.advance(seconds)
 
 
-@when("a stream breaks in event 4 and goes on elsewhere from event 2")
+@when("a stream breaks in event 4 and another replica resumes it from event 2")
 def _(context):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1, 2, 3], attempt=attempt)
-    play.deliver(events.ChunkArrived(name, attempt, b"id: 4\ndata: wo"))
-    play.deliver(
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1, 2, 3], attempt=attempt)
+    harness.deliver(events.ChunkArrived(name, attempt, b"id: 4\ndata: wo"))
+    harness.deliver(
         events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
     )
-    assert play.list_attempts(name)[-1].last_event_id == 3
-    attempt = play.send_head(name)
-    play.send_events(name, [2, 3, 4, 5, 6], attempt=attempt)
-    play.deliver(events.ResponseCompleted(name, attempt))
+    assert harness.list_attempts(name)[-1].last_event_id == 3
+    attempt = harness.send_head(name)
+    harness.send_events(name, [2, 3, 4, 5, 6], attempt=attempt)
+    harness.deliver(events.ResponseCompleted(name, attempt))
 
 
-@then("its caller got events 1 to {last:d} once and a whole answer")
+@then("its caller got events 1 to {last:d} once and a complete response")
 def _(context, last):
     assert_events(context, last)
     assert (
@@ -183,97 +183,99 @@
     found = context.play.list_effects(context.name, events.WriteChunk)
     data = b"".join(e.data for _, e in found)
     assert data == b"".join(
-        map(forwarder_harness.write_event, range(1, last + 1))
+        map(forwarder_harness.encode_event, range(1, last + 1))
     ), data
 
 
 @when("a stream skips from event 2 to event 4")
 def _(context):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1, 2, 4, 5], attempt=attempt)
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1, 2, 4, 5], attempt=attempt)
 
 
 @when("a stream breaks twice after event 2")
 def _(context):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1, 2], attempt=attempt)
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1, 2], attempt=attempt)
     for _ in range(2):
-        attempt = play.list_attempts(name)[-1].attempt
-        play.deliver(
+        attempt = harness.list_attempts(name)[-1].attempt
+        harness.deliver(
             events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
         )
 
 
-@when("a stream breaks after event 2 and the next replica answers {status:d}")
+@when("a stream breaks after event 2 and the next replica responds {status:d}")
 def _(context, status):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1, 2], attempt=attempt)
-    play.deliver(
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1, 2], attempt=attempt)
+    harness.deliver(
         events.AttemptFailed(name, attempt, Verdict.MAY_HAVE_RUN, "reset")
     )
     head = model.ResponseHead(
         status, echoed_attempt_id=f"try-{name}", is_signed=True
     )
-    attempt = play.send_head(name, head)
-    play.deliver(events.ChunkArrived(name, attempt, b"it failed"))
-    play.deliver(events.ResponseCompleted(name, attempt))
+    attempt = harness.send_head(name, head)
+    harness.deliver(events.ChunkArrived(name, attempt, b"it failed"))
+    harness.deliver(events.ResponseCompleted(name, attempt))
 
 
-@then("the answer ends so that it does not look whole")
+@then("the response is aborted and does not look complete")
 def _(context):
-    play = context.play
-    assert play.list_effects(context.name, events.AbortResponse)
-    assert not play.list_effects(context.name, events.FinishResponse)
-    assert not play.list_effects(context.name, events.Refuse)
+    harness = context.play
+    assert harness.list_effects(context.name, events.AbortResponse)
+    assert not harness.list_effects(context.name, events.FinishResponse)
+    assert not harness.list_effects(context.name, events.Refuse)
 
 
-@when("a replica with {count:d} streams gives nothing any more")
+@when("a replica with {count:d} streams stops sending output")
 def _(context, count):
-    play = context.play
+    harness = context.play
     context.names = []
     while len(context.names) < count:
-        name = play.send_request("drafts", body=b"%d" % play.request_count)
-        sent = play.list_attempts(name)[-1]
-        if sent.replica.name != play.list_attempts()[0].replica.name:
-            play.deliver(events.CallerDisconnected(name))
+        name = harness.send_request(
+            "drafts", body=b"%d" % harness.request_count
+        )
+        sent = harness.list_attempts(name)[-1]
+        if sent.replica.name != harness.list_attempts()[0].replica.name:
+            harness.deliver(events.CallerDisconnected(name))
             continue
-        attempt = play.send_head(name)
-        play.send_events(name, [1], attempt=attempt)
+        attempt = harness.send_head(name)
+        harness.send_events(name, [1], attempt=attempt)
         context.names.append(name)
-    context.stopped = play.list_attempts()[0].replica.name
-    context.stopped_at = play.now
+    context.stopped = harness.list_attempts()[0].replica.name
+    context.stopped_at = harness.now
 
 
 @when("a connection to a replica times out")
 def _(context):
-    play = context.play
-    name = play.send_request("drafts")
-    context.stopped = play.list_attempts(name)[-1].replica.name
-    play.deliver(
+    harness = context.play
+    name = harness.send_request("drafts")
+    context.stopped = harness.list_attempts(name)[-1].replica.name
+    harness.deliver(
         events.AttemptFailed(name, 1, Verdict.NOT_RUN, model.CONNECT_TIMEOUT)
     )
-    replicas = [sent.replica.name for sent in play.list_attempts(name)]
+    replicas = [sent.replica.name for sent in harness.list_attempts(name)]
     assert len(set(replicas)) == 2, replicas
 
 
-@then("other gateways are told of it")
+@then("its stall is reported to other gateways")
 def _(context):
-    play = context.play
-    assert context.stopped in play.health.list_stalled(play.now)
+    harness = context.play
+    assert context.stopped in harness.health.list_stalled(harness.now)
 
 
-@then("within {seconds:g} seconds all go on elsewhere")
+@then("within {seconds:g} seconds all streams move to other replicas")
 def _(context, seconds):
-    play = context.play
-    play.advance(seconds)
+    harness = context.play
+    harness.advance(seconds)
     for name in context.names:
-        replicas = [sent.replica.name for sent in play.list_attempts(name)]
+        replicas = [sent.replica.name for sent in harness.list_attempts(name)]
         assert replicas[0] == context.stopped
         assert len(replicas) == 2 and replicas[1] != context.stopped, replicas
 
@@ -286,25 +288,25 @@
         assert sent.replica.name != context.stopped
 
 
-@then("within {seconds:g} seconds no answer has ended")
+@then("within {seconds:g} seconds no response has ended")
 def _(context, seconds):
-    play = context.play
-    play.advance(seconds)
+    harness = context.play
+    harness.advance(seconds)
     for name in context.names:
-        assert not play.list_effects(
+        assert not harness.list_effects(
             name, events.AbortResponse | events.CancelAttempt
         )
 
 
-@when("a stream pauses for {pause:g} seconds after a prompt of 6000 tokens")
-def _(context, pause):
-    play = context.play
-    play.send_request("drafts", prompt=6000)
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1], attempt=attempt)
-    play.advance(pause)
-    play.send_events(name, [2], attempt=attempt)
+@when("a stream has a gap of {gap:g} seconds after a prompt of 6000 tokens")
+def _(context, gap):
+    harness = context.play
+    harness.send_request("drafts", prompt=6000)
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1], attempt=attempt)
+    harness.advance(gap)
+    harness.send_events(name, [2], attempt=attempt)
 
 
 @then("it was sent once")
@@ -314,11 +316,11 @@
 
 @given("other gateways have {count:d} requests at each replica")
 def _(context, count):
-    play = context.play
-    for replica in play.forwarder._chooser._view.list_replicas(
+    harness = context.play
+    for replica in harness.forwarder._chooser._directory.list_replicas(
         "model", "large"
     ):
-        play.health.get(replica).other_gateway_requests = count
+        harness.health.get(replica).other_gateway_requests = count
 
 
 @when("a stream waits {seconds:g} second for its first event")
@@ -328,11 +330,11 @@
     context.play.advance(seconds)
 
 
-@then("it was never taken from its replica")
+@then("it was never moved from its replica")
 def _(context):
-    play = context.play
-    assert len(play.list_attempts(context.name)) == 1
-    assert not play.list_effects(context.name, events.CancelAttempt)
+    harness = context.play
+    assert len(harness.list_attempts(context.name)) == 1
+    assert not harness.list_effects(context.name, events.CancelAttempt)
 
 
 @then("it was sent again to another replica")
@@ -340,67 +342,71 @@
     assert len(context.play.list_attempts(context.name)) == 2
 
 
-@when("a replica was left for a stall and then gives an event")
+@when("a replica was avoided for a stall and then sends an event")
 def _(context):
-    play = context.play
-    name = play.send_request("drafts")
-    context.replica = play.list_attempts(name)[-1].replica
-    attempt = play.send_head(name)
-    play.health.mark_stalled(context.replica, play.now)
-    assert play.health.is_stalled(context.replica, play.now)
-    play.send_events(name, [1], attempt=attempt)
+    harness = context.play
+    name = harness.send_request("drafts")
+    context.replica = harness.list_attempts(name)[-1].replica
+    attempt = harness.send_head(name)
+    harness.health.mark_stalled(context.replica, harness.now)
+    assert harness.health.is_stalled(context.replica, harness.now)
+    harness.send_events(name, [1], attempt=attempt)
 
 
-@then("it is not left alone any more")
+@then("the replica is no longer avoided")
 def _(context):
-    play = context.play
-    assert not play.health.is_stalled(context.replica, play.now)
-    assert not play.health.list_stalled(play.now)
+    harness = context.play
+    assert not harness.health.is_stalled(context.replica, harness.now)
+    assert not harness.health.list_stalled(harness.now)
 
 
-@when("another gateway tells of a stall at a replica that is not used here")
+@when("another gateway reports a stall of a replica that is not used here")
 def _(context):
-    play = context.play
-    for effect in play.forwarder.handle_reported_stalls(("m1",), play.now):
-        play.effects.append((play.now, effect))
+    harness = context.play
+    for effect in harness.forwarder.handle_reported_stalls(
+        ("m1",), harness.now
+    ):
+        harness.effects.append((harness.now, effect))
 
 
-@then("that replica is left alone here, and nobody is told of it")
+@then("that replica is avoided here and its stall is not reported again")
 def _(context):
-    play = context.play
-    replica = play.forwarder._chooser.find("m1")
-    assert play.health.is_stalled(replica, play.now)
-    assert not play.health.list_stalled(play.now)
+    harness = context.play
+    replica = harness.forwarder._chooser.find("m1")
+    assert harness.health.is_stalled(replica, harness.now)
+    assert not harness.health.list_stalled(harness.now)
 
 
-@when("another gateway tells of a stall at a replica that gave something now")
+@when("another gateway reports a stall of a replica that has just sent output")
 def _(context):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    attempt = play.send_head(name)
-    play.send_events(name, [1], attempt=attempt)
-    head = play.list_attempts(name)[-1].replica.name
-    play.now += 0.02
-    for effect in play.forwarder.handle_reported_stalls((head,), play.now):
-        play.effects.append((play.now, effect))
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    attempt = harness.send_head(name)
+    harness.send_events(name, [1], attempt=attempt)
+    head = harness.list_attempts(name)[-1].replica.name
+    harness.now += 0.02
+    for effect in harness.forwarder.handle_reported_stalls(
+        (head,), harness.now
+    ):
+        harness.effects.append((harness.now, effect))
 
 
-@then("its streams stay there")
+@then("its streams stay on that replica")
 def _(context):
     assert len(context.play.list_attempts(context.name)) == 1
 
 
 @when("{count:d} idempotent calls are all reset")
 def _(context, count):
-    play = context.play
-    context.names = [play.send_request("notices") for _ in range(1)]
+    harness = context.play
+    context.names = [harness.send_request("notices") for _ in range(1)]
     for number in range(count):
-        name = play.send_request("notices", body=b"%d" % number)
+        name = harness.send_request("notices", body=b"%d" % number)
         for _ in range(3):
-            if play.list_effects(name, events.Refuse):
+            if harness.list_effects(name, events.Refuse):
                 break
-            attempt = play.list_attempts(name)[-1].attempt
-            play.deliver(
+            attempt = harness.list_attempts(name)[-1].attempt
+            harness.deliver(
                 events.AttemptFailed(
                     name, attempt, Verdict.MAY_HAVE_RUN, "reset"
                 )
@@ -413,12 +419,12 @@
     assert 0 < len(again) <= most, len(again)
 
 
-@when("a caller leaves in the middle of its stream")
+@when("a caller disconnects in the middle of its stream")
 def _(context):
-    play = context.play
-    name = context.name = play.send_request("drafts")
-    play.send_events(name, [1], attempt=play.send_head(name))
-    play.deliver(events.CallerDisconnected(name))
+    harness = context.play
+    name = context.name = harness.send_request("drafts")
+    harness.send_events(name, [1], attempt=harness.send_head(name))
+    harness.deliver(events.CallerDisconnected(name))
 
 
 @then("the replica's connection is closed at once")
@@ -428,30 +434,30 @@
     assert context.play.forwarder.count_open() == 0
 
 
-@when("a non-idempotent call is not answered until its time is over")
+@when("a non-idempotent call gets no response before its deadline")
 def _(context):
     context.name = context.play.send_request("alerts")
-    context.asked_at = context.play.now
+    context.submitted_at = context.play.now
     context.play.advance(1.5)
 
 
-@then("it ends with status 504 within 0.05 seconds after its time")
+@then("it ends with status 504 within 0.05 seconds after its deadline")
 def _(context):
     at, _ = assert_refused(context, 504)
-    assert 1.0 <= at - context.asked_at <= 1.05, at - context.asked_at
+    assert 1.0 <= at - context.submitted_at <= 1.05, at - context.submitted_at
 
 
-@when("a non-idempotent call comes")
+@when("a non-idempotent call arrives")
 def _(context):
     context.name = context.play.send_request("alerts")
-    context.asked_at = context.play.now
+    context.submitted_at = context.play.now
     context.play.advance(0.5)
 
 
-@then("it ends with status 503 within {seconds:g} seconds, never sent")
+@then("it ends with status 503 within {seconds:g} seconds and is never sent")
 def _(context, seconds):
     at, refusal = assert_refused(context, 503)
-    assert at - context.asked_at <= seconds, at - context.asked_at
+    assert at - context.submitted_at <= seconds, at - context.submitted_at
     assert refusal.retry_after_s
     assert not context.play.list_attempts()
 
@@ -474,7 +480,7 @@
     return attrs.evolve(base, **changes)
 
 
-def make_table(*found, **changes):
+def make_route_table(*found, **changes):
     """Returns a look-up table of some routes."""
     services = (document.Service("plain"),)
     return routes.RouteTable(
@@ -484,7 +490,7 @@
 
 @given('routes for "/", "/a/" and "/a/b/" of host "one", "/a/" of host "two"')
 def _(context):
-    context.found_routes = make_table(
+    context.route_table = make_route_table(
         make_route("one", "one", "/"),
         make_route("one/a", "one", "/a/"),
         make_route("one/a/b", "one", "/a/b/"),
@@ -494,7 +500,7 @@
 
 @then('"{path}" of host "{host}" goes to {route}')
 def _(context, path, host, route):
-    match context.found_routes.find(host, path, ""):
+    match context.route_table.find(host, path, ""):
         case routes.RouteMatch(found):
             assert found.name == route, found.name
         case routes.NoRoute():
@@ -503,28 +509,28 @@
 
 @given('a route that needs a key of workspace "crew"')
 def _(context):
-    context.found_routes = make_table(
+    context.route_table = make_route_table(
         make_route("r", "h", "/", needs_key=True),
         workspaces=(document.Workspace("crew", ("right",)),),
     )
 
 
-@then('key "{key}" is let in as "{name}"')
+@then('key "{key}" is accepted as workspace "{name}"')
 def _(context, key, name):
-    assert context.found_routes.find("h", "/x", key).workspace.name == name
+    assert context.route_table.find("h", "/x", key).workspace.name == name
 
 
 @then('key "{key}" is refused')
 def _(context, key):
     assert isinstance(
-        context.found_routes.find("h", "/x", key), routes.InvalidKey
+        context.route_table.find("h", "/x", key), routes.InvalidKey
     )
 
 
-@then("no key is refused")
+@then("a request without a key is refused")
 def _(context):
     assert isinstance(
-        context.found_routes.find("h", "/x", ""), routes.InvalidKey
+        context.route_table.find("h", "/x", ""), routes.InvalidKey
     )
 
 
@@ -578,19 +584,17 @@
     assert any(reason in problem for problem in problems), problems
 
 
-@given(
-    "71 gateways that share {ratio:g} retries a request and {extra:g} beyond"
-)
+@given("71 gateways that share {ratio:g} retries a request and {extra:g} extra")
 def _(context, ratio, extra):
     make_budgets(context, ratio, extra)
     for shared in context.shared:
-        # It has served before, and saved what it may.
+        # It has handled requests before and saved as many retries as allowed.
         shared.set_gateway_count(len(context.shared), 1.0)
         for _ in range(1000):
             shared.get_budget("model").deposit()
 
 
-@given("71 new gateways that share {ratio:g} retries and {extra:g} beyond")
+@given("71 new gateways that share {ratio:g} retries and {extra:g} extra")
 def _(context, ratio, extra):
     make_budgets(context, ratio, extra)
 
@@ -600,10 +604,10 @@
     context.shared = [budget.GatewayRetryBudgets(limits) for _ in range(71)]
 
 
-@when("{count:d} requests come to them unevenly and all fail")
+@when("{count:d} requests arrive at them unevenly and all fail")
 def _(context, count):
-    # Gateways are drawn by a hash of the caller: some get three times as much
-    # as others.
+    # Callers are assigned to gateways by a hash: some gateways get three
+    # times as many requests as others.
     rng = random.Random(7)
     weights = [rng.uniform(0.5, 1.5) for _ in context.shared]
     context.retries = 0
@@ -619,8 +623,8 @@
     assert least <= context.retries <= most, context.retries
 
 
-def make_opened(*, urgency, started=False):
-    """Returns an open request of a route with an objective of 0.3 s."""
+def make_pending(*, urgency, started=False):
+    """Returns a pending request of a route with an objective of 0.3 s."""
     request = model.Request(
         request_id="r",
         metadata=model.RequestMetadata("t"),
@@ -636,16 +640,16 @@
     return state.PendingRequest(request, 10.0, 18.0, started=started)
 
 
-@then("a stream that goes on ranks before a newcomer")
+@then("a resumed stream ranks before a new request")
 def _(context):
-    going = ranks.find_rank(make_opened(urgency=1, started=True))
-    assert going < ranks.find_rank(make_opened(urgency=1))
+    going = ranks.find_rank(make_pending(urgency=1, started=True))
+    assert going < ranks.find_rank(make_pending(urgency=1))
 
 
-@then("a newcomer of priority 0 ranks before a stream of priority 1")
+@then("a new request of priority 0 ranks before a stream of priority 1")
 def _(context):
-    urgent = ranks.find_rank(make_opened(urgency=0))
-    assert urgent < ranks.find_rank(make_opened(urgency=1, started=True))
+    urgent = ranks.find_rank(make_pending(urgency=0))
+    assert urgent < ranks.find_rank(make_pending(urgency=1, started=True))
 
 
 @given("the gateway has just started")
@@ -653,57 +657,57 @@
     context.play.forwarder._started_at = context.play.now
 
 
-@when("a stream gives an event each {gap:g} seconds for {seconds:g} seconds")
+@when("a stream sends an event every {gap:g} seconds for {seconds:g} seconds")
 def _(context, gap, seconds):
-    play = context.play
-    context.name = play.send_request("drafts", prompt=1000)
-    attempt = play.send_head(context.name)
+    harness = context.play
+    context.name = harness.send_request("drafts", prompt=1000)
+    attempt = harness.send_head(context.name)
     for number in range(1, round(seconds / gap) + 1):
-        play.advance(gap)
-        play.send_events(context.name, [number], attempt=attempt)
+        harness.advance(gap)
+        harness.send_events(context.name, [number], attempt=attempt)
 
 
-@then("it stays with its replica")
+@then("it stays on its replica")
 def _(context):
     assert len(context.play.list_attempts(context.name)) == 1
 
 
-@then("a replica that gives nothing is still left within 1 second")
+@then("it still moves away within 1 second from a replica without output")
 def _(context):
     context.play.advance(1.0)
     assert len(context.play.list_attempts(context.name)) == 2
 
 
-@when("a stream has given an event just now")
+@when("a stream has just sent an event")
 def _(context):
-    play = context.play
-    context.name = play.send_request("drafts", prompt=1000)
-    attempt = play.send_head(context.name)
-    play.send_events(context.name, [1], attempt=attempt)
+    harness = context.play
+    context.name = harness.send_request("drafts", prompt=1000)
+    attempt = harness.send_head(context.name)
+    harness.send_events(context.name, [1], attempt=attempt)
 
 
-@then("nothing is due before its replica may count as stopped")
+@then("no check is due before its replica may count as stalled")
 def _(context):
-    play = context.play
-    due_s = play.forwarder.find_next_wakeup(play.now) - play.now
+    harness = context.play
+    due_s = harness.forwarder.find_next_wakeup(harness.now) - harness.now
     assert due_s > 0.08, due_s
-    # A look just before finds nothing, one some passes later does.
-    play.advance(due_s - 0.02)
-    assert len(play.list_attempts(context.name)) == 1
-    play.advance(due_s + 0.1)
-    assert len(play.list_attempts(context.name)) == 2
+    # A check just before finds no stall, one some passes later does.
+    harness.advance(due_s - 0.02)
+    assert len(harness.list_attempts(context.name)) == 1
+    harness.advance(due_s + 0.1)
+    assert len(harness.list_attempts(context.name)) == 2
 
 
-@then("with a request that waits for a replica something is due at once")
+@then("a check is due at once while a request waits for a replica")
 def _(context):
-    play = context.play
+    harness = context.play
     for _ in range(60):
-        play.send_request("drafts")
-    assert play.forwarder.find_next_wakeup(play.now) <= play.now
+        harness.send_request("drafts")
+    assert harness.forwarder.find_next_wakeup(harness.now) <= harness.now
 
 
 @given(
-    "one of 9 gateways with {count:d} {kind} replicas that take {limit:d}"
+    "one of 9 gateways with {count:d} {kind} replicas that accept {limit:d}"
     " connections"
 )
 def _(context, count, kind, limit):
@@ -714,16 +718,16 @@
     context.route = {"plain": "notices", "model": "drafts"}[kind]
 
 
-@when("{count:d} requests for them come within {seconds:g} seconds")
+@when("{count:d} requests for them arrive within {seconds:g} seconds")
 def _(context, count, seconds):
-    play = context.play
+    harness = context.play
     context.max_running = collections.Counter()
     for _ in range(count):
-        play.send_request(context.route)
-        play.advance(seconds / count)
-        for name, seen in play.health.stats.items():
+        harness.send_request(context.route)
+        harness.advance(seconds / count)
+        for name, stats in harness.health.stats.items():
             context.max_running[name] = max(
-                context.max_running[name], seen.own_requests
+                context.max_running[name], stats.own_requests
             )
 
 
@@ -737,13 +741,13 @@
     assert set(context.max_running.values()) == {count}, context.max_running
 
 
-def refuse_naming_server(play, faulty_server):
+def refuse_naming_server(harness, faulty_server):
     """Sends a request and has its head refuse it, naming a server at fault."""
-    name = play.send_request("drafts", body=b"%d" % play.request_count)
+    name = harness.send_request("drafts", body=b"%d" % harness.request_count)
     head = attrs.evolve(
         REFUSED, echoed_attempt_id=f"try-{name}", faulty_server=faulty_server
     )
-    play.send_head(name, head)
+    harness.send_head(name, head)
 
 
 @when('two requests are refused by heads that name "{server}" as at fault')
@@ -754,13 +758,13 @@
 
 @when("a request is refused by a head that names itself as at fault")
 def _(context):
-    play = context.play
-    name = play.send_request("drafts")
-    replica = play.list_attempts(name)[-1].replica
+    harness = context.play
+    name = harness.send_request("drafts")
+    replica = harness.list_attempts(name)[-1].replica
     head = attrs.evolve(
         REFUSED, echoed_attempt_id=f"try-{name}", faulty_server=replica.name
     )
-    play.send_head(name, head)
+    harness.send_head(name, head)
 
 
 @then('"{server}" is reported as at fault once')
@@ -775,25 +779,27 @@
     assert context.play.forwarder.pop_faulty_servers() == ()
 
 
-@when("a request is refused without a time and the next one gets a late answer")
+@when("a request is refused without a time, the next one gets a late response")
 def _(context):
-    play = context.play
-    name = play.send_request("notices", body=b"1")
-    context.replica = play.list_attempts(name)[-1].replica
-    play.send_head(name, attrs.evolve(REFUSED, echoed_attempt_id=f"try-{name}"))
-    play.advance(0.05)
-    name = play.send_request("notices", body=b"2")
-    assert play.list_attempts(name), "the second request was not sent"
-    play.advance(0.05)
-    play.send_head(
+    harness = context.play
+    name = harness.send_request("notices", body=b"1")
+    context.replica = harness.list_attempts(name)[-1].replica
+    harness.send_head(
+        name, attrs.evolve(REFUSED, echoed_attempt_id=f"try-{name}")
+    )
+    harness.advance(0.05)
+    name = harness.send_request("notices", body=b"2")
+    assert harness.list_attempts(name), "the second request was not sent"
+    harness.advance(0.05)
+    harness.send_head(
         name,
         attrs.evolve(forwarder_harness.OK, echoed_attempt_id="try-earlier"),
     )
 
 
-@then("the replica is still in doubt")
+@then("the replica is still likely to refuse")
 def _(context):
-    play = context.play
-    assert play.notices.is_likely_to_refuse(
-        context.replica, play.now, may_probe=True
+    harness = context.play
+    assert harness.notices.is_likely_to_refuse(
+        context.replica, harness.now, may_probe=True
     )
--- a/tests/support/forwarder_harness.py
+++ b/tests/support/forwarder_harness.py
@@ -1,4 +1,4 @@
-"""One gateway's forwarder, whose callers and replicas a test plays."""
+"""Harness of one gateway's forwarder."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ForwarderHarness:
-    """One gateway's forwarder; the test is its callers and replicas."""
+    """One gateway's forwarder; the test acts as its callers and replicas."""
 
     def __init__(
         self, *, plain: int = 0, models: int = 0, max_connections: int = 0
@@ -42,11 +42,11 @@
         self.notices = notice_store.NoticeStore()
         rng = random.Random(1)
         self.permits = permit_pool.PermitPool("z1/front1", first=1, rng=rng)
-        view = replica_directory.ReplicaDirectory(self.registry)
+        directory = replica_directory.ReplicaDirectory(self.registry)
         self.forwarder = forwarder.Forwarder(
             chooser=choice.Chooser(
                 zone="z1",
-                directory=view,
+                directory=directory,
                 health=self.health,
                 notices=self.notices,
                 permits=self.permits,
@@ -57,7 +57,7 @@
             notices=self.notices,
             permits=self.permits,
         )
-        # Its coordinator has told it how many share the retries.
+        # Its coordinator has sent it the number of gateways.
         self.forwarder.set_gateway_count(9, 0.0)
         engine = attrs.evolve(
             fleet_simulation.ENGINE,
@@ -72,7 +72,7 @@
                 document.Service("plain", max_connections=max_connections),
             ),
         )
-        view.set_document(self.forwarder.document)
+        directory.set_document(self.forwarder.document)
         self.effects: list[tuple[float, events.Effect]] = []
         self.request_count = 0
 
@@ -97,7 +97,7 @@
         )
 
     def deliver(self, event):
-        """Gives an event to the reducer and keeps its effects."""
+        """Delivers an event to the reducer and stores its effects."""
         for effect in self.forwarder.handle(event, self.now):
             self.effects.append((self.now, effect))
 
@@ -110,7 +110,7 @@
         body: bytes = b"",
         target: bytes = b"/x/",
     ) -> str:
-        """Sends a request; returns its name."""
+        """Sends a request; returns its id."""
         self.request_count += 1
         name = f"r{self.request_count}"
         found = ROUTES[route]
@@ -139,7 +139,7 @@
         return name
 
     def advance(self, seconds: float, each=None) -> None:
-        """Lets time pass in ticks."""
+        """Advances the time in ticks."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.01
@@ -149,7 +149,7 @@
                 each()
 
     def list_attempts(self, name: str = "") -> list[events.StartAttempt]:
-        """Returns what was sent to replicas."""
+        """Returns the attempts sent to replicas."""
         return [
             e
             for _, e in self.effects
@@ -160,24 +160,24 @@
     def send_head(
         self, name: str, head: model.ResponseHead | None = None
     ) -> int:
-        """Answers with a head; returns the number of the attempt."""
+        """Delivers a response head; returns the number of its attempt."""
         sent = self.list_attempts(name)[-1]
-        echo = sent.request.metadata.attempt_id
-        head = head or attrs.evolve(OK, echoed_attempt_id=echo)
+        attempt_id = sent.request.metadata.attempt_id
+        head = head or attrs.evolve(OK, echoed_attempt_id=attempt_id)
         self.deliver(events.ResponseHeadArrived(name, sent.attempt, head))
         return sent.attempt
 
     def send_events(self, name: str, numbers, *, attempt: int) -> None:
-        """Gives events of a stream."""
+        """Delivers events of a stream."""
         for number in numbers:
             self.deliver(
-                events.ChunkArrived(name, attempt, write_event(number))
+                events.ChunkArrived(name, attempt, encode_event(number))
             )
 
     def respond(
         self, name: str, head: model.ResponseHead | None = None
     ) -> None:
-        """Answers a plain call whole."""
+        """Delivers a complete response to a plain call."""
         attempt = self.send_head(name, head)
         self.deliver(events.ChunkArrived(name, attempt, b"body"))
         self.deliver(events.ResponseCompleted(name, attempt))
@@ -191,6 +191,6 @@
         ]
 
 
-def write_event(number: int) -> bytes:
+def encode_event(number: int) -> bytes:
     """Returns an event of a stream."""
     return f"id: {number}\ndata: words {number}\n\n".encode()
