--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -80,8 +80,8 @@
     print(f"tick with them: {tick_us:.0f} us")
     book = crash_history.CrashHistory()
     for crash in zone:
-        book.take(crash, 100.0)
-    forget_us = measure_time(lambda: book.forget(101.0))
+        book.merge(crash, 100.0)
+    forget_us = measure_time(lambda: book.prune(101.0))
     print(f"forgetting, once a second: {forget_us:.0f} us")
     body = bytes(BODY_BYTES)
     hash_us = measure_time(
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -13,10 +13,10 @@
 from hickorylead.forwarding import model
 from hickorylead.ratelimits import (
     allocator,
+    limit_table,
     messages,
     permit_broker,
     permit_pool,
-    table as table_module,
 )
 from hickorylead.wire import codec
 
@@ -135,10 +135,10 @@
 
     us = measure_time(look)
     print(f"choosing among {LIMITED} that name a limit: {us:.0f} us more")
-    known = table_module.Known(0, 1.1, True, 100.0, 100.0)
+    known = limit_table.KnownLimit(0, 1.1, True, 100.0, 100.0)
     bucket = allocator.Allocator()
     us = measure_time(
-        lambda: bucket.allot(asks[0], known, is_fresh=True, now=100.0)
+        lambda: bucket.allocate(asks[0], known, is_fresh=True, now=100.0)
     )
     print(f"one server's permits: {us:.1f} us")
 
--- a/bench/notices.py
+++ b/bench/notices.py
@@ -104,7 +104,7 @@
     print(f"gateway, {len(kept)} notices: {used / 1e6:.2f} MB")
     known = pauses.Pauses()
     for pause in make_pauses(ALL):
-        known.take(pause, 100.0)
+        known.merge(pause, 100.0)
     both, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"coordinator, {ALL} pauses: {(both - used) / 1e6:.2f} MB")
--- a/src/hickorylead/crashes/__init__.py
+++ b/src/hickorylead/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the backend servers which run them."""
+"""Detection and blocking of requests that crash the servers running them."""
--- a/src/hickorylead/crashes/crash_guard.py
+++ b/src/hickorylead/crashes/crash_guard.py
@@ -1,4 +1,4 @@
-"""What a gateway does about requests that end the servers which run them."""
+"""Blocked requests and lost runs at one gateway."""
 
 from __future__ import annotations
 
@@ -12,134 +12,154 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A lost run is told a second time after this, in seconds: the first message is
-# lost if the coordinator's process ends, and a restart takes a second or less.
-RETELL_S = 1.5
-# Lost runs that a gateway keeps for its next home: some 23 a replica at the
-# peak, of many replicas that were lost together.
-MAX_OWN = 512
-# A content that was answered whole within this is not blamed for servers that
-# end, in seconds: calls that many callers repeat are under way at every server
-# that is lost. It is longer than a series of losses, 5 to 10 s.
-ANSWERED_S = 60.0
-# Answered contents that are kept: 60 s of the 10 requests/s of a gateway at the
-# peak are 600; some 150 bytes each.
-MAX_ANSWERED = 2048
+# A lost run is reported a second time after this, in seconds: the first message
+# is lost if the coordinator's process ends, and a restart takes a second or
+# less.
+RESEND_AFTER_S = 1.5
+# Maximum number of lost runs that a gateway keeps for its next home
+# coordinator: at the peak some 23 a replica, for many replicas lost together.
+MAX_LOST_RUNS = 512
+# A request that got a complete response within this time, in seconds, is not
+# treated as the cause of server losses: requests that many callers repeat are
+# in flight at every server that is lost. The time is longer than a series of
+# losses, 5 to 10 s.
+COMPLETED_RETENTION_S = 60.0
+# Maximum number of completed requests that are kept, some 150 bytes each: at 10
+# requests/s, the peak of a gateway, 60 s make 600.
+MAX_COMPLETED = 2048
 
 
 @attrs.define
-class _Own:
+class _LostRun:
+    """A run that this gateway lost.
+
+    Attributes:
+        crash: The lost run, as of the time of its loss.
+        lost_at: When the run was lost.
+        sent_at: When it was last reported.
+        is_resent: Whether it was reported more than once.
+    """
+
     crash: messages.Crash
-    at: float
-    told_at: float = -1e9
-    is_told_twice: bool = False
+    lost_at: float
+    sent_at: float = -1e9
+    is_resent: bool = False
 
 
 class CrashGuard:
-    """The blocked contents that a gateway knows, and the runs that it lost."""
+    """Blocked and suspected requests at a gateway, and its lost runs.
+
+    Requests are identified by their hash.
+    """
 
     def __init__(self, node: str) -> None:
-        """Makes a guard that knows of no blocked content.
+        """Makes a guard without blocked requests and lost runs.
 
         Args:
             node: Name of the gateway.
         """
         self._node = node
         self._blocked: dict[int, float] = {}
-        # Suspected contents: end of the suspicion, and whether this gateway may
+        # Suspected requests: end of the suspicion, and whether this gateway may
         # send them.
         self._suspected: dict[int, tuple[float, bool]] = {}
-        self._own: collections.deque[_Own] = collections.deque(maxlen=MAX_OWN)
-        self._answered: collections.OrderedDict[int, float] = (
+        self._lost_runs: collections.deque[_LostRun] = collections.deque(
+            maxlen=MAX_LOST_RUNS
+        )
+        self._completed: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
-        # Contents that others blame, but were answered here.
+        # Requests that coordinators suspect or block, but got a complete
+        # response here; not reported yet.
         self._cleared: set[int] = set()
         self._home = ""
 
     def count_blocked(self) -> int:
-        """Returns how many contents are blocked."""
+        """Returns the number of blocked requests."""
         return len(self._blocked)
 
     def compute_digest(self, now: float) -> int:
-        """Returns a hash over the blocked and suspected contents."""
-        self._forget(now)
-        return hash_contents(self._blocked, self._suspected)
+        """Returns a digest of the blocked and suspected requests."""
+        self._prune(now)
+        return digest_request_hashes(self._blocked, self._suspected)
 
-    def get_block_remaining_s(self, content: int, now: float) -> float | None:
-        """Returns how much longer a content is blocked, in seconds.
+    def get_block_remaining_s(
+        self, request_hash: int, now: float
+    ) -> float | None:
+        """Returns how much longer a request is blocked, in seconds.
 
-        None if it is not.
+        None if it is not blocked.
         """
-        until = self._blocked.get(content, now)
+        until = self._blocked.get(request_hash, now)
         return until - now if until > now else None
 
-    def may_send(self, content: int, *, runs: int, now: float) -> bool:
+    def may_send(self, request_hash: int, *, runs: int, now: float) -> bool:
         """Returns whether this gateway may send a request that is not blocked.
 
-        Only one gateway may send a suspected request, and each submission of
-        it to one server only.
+        Only one gateway may send a suspected request, and each submission of it
+        to one server only.
 
         Args:
-            content: Its hash.
-            runs: Servers that may have run this submission.
+            request_hash: The request hash.
+            runs: Number of servers that may have run this submission.
             now: Present time.
         """
-        until, is_allowed = self._suspected.get(content, (now, True))
+        until, is_allowed = self._suspected.get(request_hash, (now, True))
         return until <= now or (is_allowed and not runs)
 
-    def is_suspected(self, content: int, now: float) -> bool:
-        """Returns whether a content may have ended a server recently.
+    def is_suspected(self, request_hash: int, now: float) -> bool:
+        """Returns whether a request may have ended a server recently.
 
-        Coordinators suspect it, or this gateway lost a run of it within
-        `crash_history.PENDING_S` and got no whole answer.
+        This holds if coordinators suspect it, or if this gateway lost a run of
+        it within `crash_history.PENDING_S` and got no complete response.
         """
-        until, _ = self._suspected.get(content, (now, True))
+        until, _ = self._suspected.get(request_hash, (now, True))
         if until > now:
             return True
-        return not self._was_answered(content, now) and any(
-            own.crash.content == content
-            and now - own.at <= crash_history.PENDING_S
-            for own in self._own
+        return not self._was_completed(request_hash, now) and any(
+            run.crash.content == request_hash
+            and now - run.lost_at <= crash_history.PENDING_S
+            for run in self._lost_runs
         )
 
     def record_lost_run(
-        self, content: int, server: str, born: int, now: float
+        self, request_hash: int, server: str, born: int, now: float
     ) -> None:
-        """Takes that a server gave no whole answer and may have run it.
+        """Records that a server may have run a request without completing it.
 
-        Whether its life ended with that is for coordinators to find out.
+        Coordinators find out whether the server's incarnation ended as well.
         """
-        if self._was_answered(content, now):
+        if self._was_completed(request_hash, now):
             return
-        crash = messages.Crash(content, server, born, 0)
-        self._own.append(_Own(crash, now))
-
-    def record_complete_response(self, content: int, now: float) -> None:
-        """Takes that a server answered a content whole."""
-        if self._suspected.pop(content, None) is not None:
-            self._cleared.add(content)
-        self._answered[content] = now
-        self._answered.move_to_end(content)
-        if len(self._answered) > MAX_ANSWERED:
-            self._answered.popitem(last=False)
-
-    def apply_blocks(self, news: messages.BlockNews, now: float) -> None:
-        """Takes the blocked contents that a coordinator knows.
-
-        What it does not name stays blocked for its time: it may have restarted
-        and know less. Suspected contents that it does not name are dropped.
+        crash = messages.Crash(request_hash, server, born, 0)
+        self._lost_runs.append(_LostRun(crash, now))
+
+    def record_complete_response(self, request_hash: int, now: float) -> None:
+        """Records that a request got a complete response."""
+        if self._suspected.pop(request_hash, None) is not None:
+            self._cleared.add(request_hash)
+        self._completed[request_hash] = now
+        self._completed.move_to_end(request_hash)
+        if len(self._completed) > MAX_COMPLETED:
+            self._completed.popitem(last=False)
+
+    def apply_blocks(self, update: messages.BlockNews, now: float) -> None:
+        """Applies the blocked and suspected requests of a coordinator.
+
+        Blocks that the update does not list stay until they expire, because the
+        coordinator may have restarted and lost some. Suspicions that it does
+        not list are dropped.
         """
-        for block in news.blocks:
-            if self._was_answered(block.content, now):
+        for block in update.blocks:
+            if self._was_completed(block.content, now):
                 self._cleared.add(block.content)
                 continue
             self._blocked[block.content] = now + block.left_ms / 1000.0
-        for content in news.cleared:
-            self._blocked.pop(content, None)
+        for request_hash in update.cleared:
+            self._blocked.pop(request_hash, None)
         self._suspected = {}
-        for suspicion in news.suspicions:
-            if self._was_answered(suspicion.content, now):
+        for suspicion in update.suspicions:
+            if self._was_completed(suspicion.content, now):
                 self._cleared.add(suspicion.content)
                 continue
             until = now + suspicion.left_ms / 1000.0
@@ -149,53 +169,62 @@
     def collect_messages(
         self, home: str, now: float
     ) -> list[tuple[str, messages.CrashNews]]:
-        """Returns what its home is to be told now.
+        """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's coordinator; empty if it has none.
+            home: The gateway's home coordinator; empty if it has none.
             now: Present time.
         """
-        while self._own and now - self._own[0].at > crash_history.PENDING_S:
-            self._own.popleft()
-        is_new = home != self._home
+        while (
+            self._lost_runs
+            and now - self._lost_runs[0].lost_at > crash_history.PENDING_S
+        ):
+            self._lost_runs.popleft()
+        is_new_home = home != self._home
         self._home = home
         if not home:
             return []
-        due = [x for x in self._own if is_new or _is_due(x, now)]
+        due = [
+            run for run in self._lost_runs if is_new_home or _is_due(run, now)
+        ]
         cleared, self._cleared = self._cleared, set()
         if not due and not cleared:
             return []
-        for own in due:
-            own.is_told_twice = own.told_at > 0
-            own.told_at = now
+        for run in due:
+            run.is_resent = run.sent_at > 0
+            run.sent_at = now
         crashes = tuple(
-            attrs.evolve(x.crash, age_ms=int((now - x.at) * 1000)) for x in due
+            attrs.evolve(run.crash, age_ms=int((now - run.lost_at) * 1000))
+            for run in due
         )
-        # What was lost until now is forgiven, not just what was lost before the
-        # answer: a call that was answered does not end servers.
+        # All losses up to now are cleared, not only those before the response:
+        # a request that got a complete response does not crash servers.
         clearances = tuple(messages.Clearance(c, 0) for c in sorted(cleared))
         return [(home, messages.CrashNews(self._node, crashes, clearances))]
 
-    def _was_answered(self, content: int, now: float) -> bool:
-        return now - self._answered.get(content, -1e9) <= ANSWERED_S
+    def _was_completed(self, request_hash: int, now: float) -> bool:
+        return (
+            now - self._completed.get(request_hash, -1e9)
+            <= COMPLETED_RETENTION_S
+        )
 
-    def _forget(self, now: float) -> None:
-        for content, until in list(self._blocked.items()):
+    def _prune(self, now: float) -> None:
+        for request_hash, until in list(self._blocked.items()):
             if until <= now:
-                del self._blocked[content]
-        for content, (until, _) in list(self._suspected.items()):
+                del self._blocked[request_hash]
+        for request_hash, (until, _) in list(self._suspected.items()):
             if until <= now:
-                del self._suspected[content]
+                del self._suspected[request_hash]
 
 
-def hash_contents(*groups: Iterable[int]) -> int:
-    """Returns a hash over groups of contents, independent of their order."""
-    found = 0
-    for contents in groups:
-        for content in contents:
-            found ^= content
-    return found
+def digest_request_hashes(*groups: Iterable[int]) -> int:
+    """Returns a digest of groups of hashes, independent of their order."""
+    digest = 0
+    for request_hashes in groups:
+        for request_hash in request_hashes:
+            digest ^= request_hash
+    return digest
 
 
-def _is_due(own: _Own, now: float) -> bool:
-    return not own.is_told_twice and now - own.told_at >= RETELL_S
+def _is_due(run: _LostRun, now: float) -> bool:
+    return not run.is_resent and now - run.sent_at >= RESEND_AFTER_S
--- a/src/hickorylead/crashes/crash_tracker.py
+++ b/src/hickorylead/crashes/crash_tracker.py
@@ -1,7 +1,8 @@
-"""What one coordinator does about requests that end servers.
+"""Tracks requests that crash servers, at one coordinator.
 
-Gateways tell their home which runs they lost. Coordinators tell each other,
-find out which servers ended, and tell their gateways what no replica may get.
+Gateways report their lost runs to their home coordinator. Coordinators exchange
+them, find out which servers ended, and send their gateways the requests to
+block.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
     crash_guard,
     crash_history,
     messages,
-    request_hash,
+    request_hash as request_hash_module,
 )
 from hickorylead.fleet import divergence
 
@@ -22,110 +23,114 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-FORGET_PERIOD_S = 1.0
-# Where hashes are not compared, all is told again this often, in seconds, while
-# there is anything: within it a process that restarted knows what is blocked.
+PRUNE_PERIOD_S = 1.0
+# Where digests are not compared, all lost runs are sent again at this interval,
+# in seconds, if there are any: within it a process that restarted has the
+# blocked requests again.
 RETELL_PERIOD_S = 5.0
 
 
 class CrashTracker:
-    """The ledger of one coordinator, and whom it tells of it."""
+    """The crash history of one coordinator, and its updates to other nodes."""
 
     def __init__(self, node: str) -> None:
-        """Makes an exchange that knows of no lost run.
+        """Makes a tracker without lost runs.
 
         Args:
             node: Name of the coordinator.
         """
         self._node = node
-        self._ledger = crash_history.CrashHistory()
-        self._told: frozenset[int] = frozenset()
-        self._told_suspected: dict[int, str] = {}
-        # Gateways whose home this coordinator is.
+        self._history = crash_history.CrashHistory()
+        self._sent_blocked: frozenset[int] = frozenset()
+        self._sent_suspected: dict[int, str] = {}
+        # Gateways that have this coordinator as their home.
         self._own_gateways: tuple[str, ...] = ()
-        # Other coordinators that are home to gateways.
-        self._other_homes: tuple[str, ...] = ()
-        self._next_forget = 0.0
+        self._other_home_coordinators: tuple[str, ...] = ()
+        self._next_prune_at = 0.0
         self._coordinators = divergence.DivergenceDetector()
         self._gateways = divergence.DivergenceDetector()
 
     @property
     def digest(self) -> int:
-        """A hash over all that is known, the same at those that know it."""
-        return self._ledger.check
+        """Digest of the complete history, equal at nodes with equal history."""
+        return self._history.digest
 
     def count_blocked(self) -> int:
-        """Returns how many contents are blocked."""
-        return len(self._ledger.find_blocked())
+        """Returns the number of blocked requests."""
+        return len(self._history.find_blocked())
 
-    def list_new_servers(self, news: messages.CrashNews) -> list[str]:
-        """Returns the servers of lost runs that were not told before.
+    def list_new_servers(self, update: messages.CrashNews) -> list[str]:
+        """Returns the servers of lost runs that were not reported before.
 
-        Those that are not known to have ended, each once, sorted.
+        Lists those that are not known to have ended, each once, sorted.
         """
-        found = {
+        servers = {
             crash.server
-            for crash in news.crashes
-            if not crash.has_ended and not self._ledger.knows(crash)
+            for crash in update.crashes
+            if not crash.has_ended and not self._history.contains(crash)
         }
-        return sorted(found)
+        return sorted(servers)
 
     def merge(
-        self, news: messages.CrashNews, others: Iterable[str], now: float
+        self, update: messages.CrashNews, targets: Iterable[str], now: float
     ) -> list[Sent]:
-        """Takes news; returns what others are to be told.
+        """Merges an update; returns the messages to send to other nodes.
 
         Args:
-            news: Lost runs and cleared contents.
-            others: Coordinators that have not heard it; none if one of them
-                tells.
+            update: Lost runs and cleared requests.
+            targets: Coordinators that have not received the update; none if a
+                coordinator sent it.
             now: Present time.
         """
-        crashes = tuple(c for c in news.crashes if self._ledger.take(c, now))
+        crashes = tuple(
+            c for c in update.crashes if self._history.merge(c, now)
+        )
         cleared = tuple(
-            c for c in news.clearances if self._ledger.clear(c, now)
+            c
+            for c in update.clearances
+            if self._history.merge_clearance(c, now)
         )
         if not crashes and not cleared:
             return []
-        passed = messages.CrashNews(self._node, crashes, cleared)
-        return [(node, passed) for node in others]
+        forwarded = messages.CrashNews(self._node, crashes, cleared)
+        return [(node, forwarded) for node in targets]
 
-    def restore(self, remembered: messages.CrashNews, now: float) -> None:
-        """Takes what was known before a restart.
+    def restore(self, saved: messages.CrashNews, now: float) -> None:
+        """Restores the state that was saved before a restart.
 
-        Its ages are those of the time when it was saved; another node that
-        knows how old it really is goes first.
+        Its ages are as of the time when it was saved; the earlier times of a
+        node that has the real ages take precedence.
         """
-        self.merge(remembered, (), now)
+        self.merge(saved, (), now)
 
     def sync_coordinator(
-        self, node: str, check: int, *, is_new: bool, now: float
+        self, node: str, digest: int, *, is_new: bool, now: float
     ) -> list[Sent]:
-        """Returns what another coordinator lacks, by the hash that it told.
+        """Returns a full update if another coordinator's digest differs.
 
-        Both tell all they know. One that was cut off or lost its disk knows
-        the same after that.
+        Both coordinators send their full history. After that, one that was
+        partitioned or lost its disk has the same state.
         """
         differs = self._coordinators.needs_full_sync(
-            node, check, self.digest, now
+            node, digest, self.digest, now
         )
-        if not differs and not (is_new and check != self.digest):
+        if not differs and not (is_new and digest != self.digest):
             return []
         return [(node, self.make_full_update(now))]
 
     def sync_gateway(
-        self, node: str, check: int, *, is_new: bool, now: float
+        self, node: str, digest: int, *, is_new: bool, now: float
     ) -> list[Sent]:
-        """Returns what a gateway lacks, by the hash that it told.
+        """Returns a block update if a gateway's digest differs.
 
-        One that has started or turned here is told at once: it would send what
-        all others block.
+        A gateway that started or changed home gets it at once: it would send
+        requests that all others block.
         """
-        ours = crash_guard.hash_contents(
-            self._ledger.find_blocked(), self._ledger.find_suspected(now)
+        own_digest = crash_guard.digest_request_hashes(
+            self._history.find_blocked(), self._history.find_suspected(now)
         )
-        differs = self._gateways.needs_full_sync(node, check, ours, now)
-        if not differs and not (is_new and check != ours):
+        differs = self._gateways.needs_full_sync(node, digest, own_digest, now)
+        if not differs and not (is_new and digest != own_digest):
             return []
         return [(node, self.make_block_update(now))]
 
@@ -137,106 +142,111 @@
         *,
         other_home_coordinators: Iterable[str] = (),
     ) -> tuple[list[Sent], list[notes.Note]]:
-        """Lets time pass: servers end, contents are blocked.
+        """Records ended servers; returns changed blocks and their log notes.
 
         Args:
-            has_ended: Says whether a server's life is known to have ended.
-            gateways: Gateways whose home this coordinator is.
+            has_ended: Returns whether a server's incarnation is known to have
+                ended.
+            gateways: Gateways that have this coordinator as their home.
             now: Present time.
             other_home_coordinators: Other coordinators that are home to
                 gateways.
         """
-        self._ledger.confirm(has_ended)
-        if now >= self._next_forget:
-            self._next_forget = now + FORGET_PERIOD_S
-            self._ledger.forget(now)
+        self._history.confirm(has_ended)
+        if now >= self._next_prune_at:
+            self._next_prune_at = now + PRUNE_PERIOD_S
+            self._history.prune(now)
         self._own_gateways = tuple(gateways)
-        self._other_homes = tuple(other_home_coordinators)
-        blocked = frozenset(self._ledger.find_blocked())
+        self._other_home_coordinators = tuple(other_home_coordinators)
+        blocked = frozenset(self._history.find_blocked())
         suspected = self._choose_gateways(now)
-        if blocked == self._told and suspected == self._told_suspected:
+        if blocked == self._sent_blocked and suspected == self._sent_suspected:
             return [], []
-        written = self._describe_change(blocked)
-        self._told, self._told_suspected = blocked, suspected
-        news = self.make_block_update(now)
-        return [(node, news) for node in self._own_gateways], written
+        log_notes = self._make_notes(blocked)
+        self._sent_blocked, self._sent_suspected = blocked, suspected
+        update = self.make_block_update(now)
+        return [(node, update) for node in self._own_gateways], log_notes
 
     def make_block_update(self, now: float) -> messages.BlockNews:
-        """Returns all blocked and suspected contents, for the gateways.
+        """Returns all blocked and suspected requests, for the gateways.
 
-        At most one of these gateways may send a suspected content, so that it
+        At most one of these gateways may send a suspected request, so that it
         ends no more than one further server before it is blocked.
         """
-        blocked = self._ledger.find_blocked()
+        blocked = self._history.find_blocked()
         blocks = tuple(
-            messages.Block(content, max(0, int((until - now) * 1000)))
-            for content, until in sorted(blocked.items())
+            messages.Block(request_hash, max(0, int((until - now) * 1000)))
+            for request_hash, until in sorted(blocked.items())
         )
         cleared = tuple(
             c.content
-            for c in self._ledger.list_clearances(now)
+            for c in self._history.list_clearances(now)
             if c.content not in blocked
         )
-        suspected = self._ledger.find_suspected(now)
+        suspected = self._history.find_suspected(now)
         suspicions = tuple(
             messages.Suspicion(
-                content, int((suspected[content] - now) * 1000), gateway
+                request_hash,
+                int((suspected[request_hash] - now) * 1000),
+                gateway,
             )
-            for content, gateway in self._choose_gateways(now).items()
+            for request_hash, gateway in self._choose_gateways(now).items()
         )
         return messages.BlockNews(self._node, blocks, cleared, suspicions)
 
     def _choose_gateways(self, now: float) -> dict[int, str]:
-        """Returns the gateway that may send each suspected content.
+        """Returns the gateway that may send each suspected request.
 
         The name is empty if another coordinator chooses the gateway.
         """
-        homes = self._other_homes
+        coordinators = self._other_home_coordinators
         if self._own_gateways:
-            homes = (self._node, *homes)
+            coordinators = (self._node, *coordinators)
         chosen = {}
-        for content in sorted(self._ledger.find_suspected(now)):
-            key = str(content)
-            is_mine = rendezvous.rank_names(key, homes)[:1] == [self._node]
+        for request_hash in sorted(self._history.find_suspected(now)):
+            key = str(request_hash)
+            is_owned = rendezvous.rank_names(key, coordinators)[:1] == [
+                self._node
+            ]
             gateways = rendezvous.rank_names(key, self._own_gateways)
-            chosen[content] = gateways[0] if is_mine else ""
+            chosen[request_hash] = gateways[0] if is_owned else ""
         return chosen
 
     def make_evidence_update(self, now: float) -> messages.CrashNews:
-        """Returns the lost runs for which something is blocked, no others.
+        """Returns only the lost runs for which a request is blocked.
 
-        After the loss of a zone thousands of runs are known that block nothing.
+        After the loss of a zone there are thousands of runs that block nothing.
         """
-        blocked = self._ledger.find_blocked()
+        blocked = self._history.find_blocked()
         crashes = tuple(
             crash
-            for crash in self._ledger.list_crashes(now)
+            for crash in self._history.list_crashes(now)
             if crash.content in blocked and crash.has_ended
         )
         return messages.CrashNews(self._node, crashes)
 
     def make_full_update(self, now: float) -> messages.CrashNews:
-        """Returns all that is known, for another node or for the disk."""
+        """Returns the complete history, for another node or for the disk."""
         return messages.CrashNews(
             self._node,
-            self._ledger.list_crashes(now),
-            self._ledger.list_clearances(now),
+            self._history.list_crashes(now),
+            self._history.list_clearances(now),
         )
 
-    def _describe_change(self, blocked: frozenset[int]) -> list[notes.Note]:
-        found = [
+    def _make_notes(self, blocked: frozenset[int]) -> list[notes.Note]:
+        log_notes = [
             notes.note(
                 "content_blocked",
-                content=request_hash.format_request_hash(content),
-                servers=self._ledger.list_servers(content),
+                content=request_hash_module.format_request_hash(request_hash),
+                servers=self._history.list_servers(request_hash),
             )
-            for content in sorted(blocked - self._told)
+            for request_hash in sorted(blocked - self._sent_blocked)
         ]
-        found += [
+        log_notes += [
             notes.note(
                 "content_unblocked",
-                content=request_hash.format_request_hash(content),
+                content=request_hash_module.format_request_hash(request_hash),
             )
-            for content in sorted(self._told - blocked)
+            for request_hash in sorted(self._sent_blocked - blocked)
         ]
-        return found
+        return log_notes
--- a/src/hickorylead/crashes/messages.py
+++ b/src/hickorylead/crashes/messages.py
@@ -1,4 +1,4 @@
-"""Messages about requests that end the servers which run them."""
+"""Messages about requests that crash the servers running them."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @attrs.frozen
 class Crash:
-    """A run that was lost, perhaps with the life of its server.
+    """A lost run of a request: its server may have ended while running it.
 
     Attributes:
-        content: Hash of what was asked for.
+        content: The request hash.
         server: The server that ran it.
-        born: When the life began that ran it, in Unix milliseconds; 0 if it
-            does not tell.
+        born: Start of the server's incarnation, in Unix milliseconds; 0 if the
+            server does not report it.
         age_ms: How long ago the run was lost, in milliseconds.
-        has_ended: Whether that life is known to have ended.
+        has_ended: Whether that incarnation is known to have ended.
     """
 
     content: int
@@ -29,11 +29,11 @@
 
 @attrs.frozen
 class Clearance:
-    """A content that a server answered whole, so it ends none by itself.
+    """A request that got a complete response, so it does not crash servers.
 
     Attributes:
-        content: Its hash.
-        age_ms: How long ago it was answered, in milliseconds.
+        content: The request hash.
+        age_ms: Time since the response, in milliseconds.
     """
 
     content: int
@@ -42,12 +42,12 @@
 
 @attrs.frozen
 class CrashNews:
-    """A node tells a coordinator of lost runs, and of contents that are fine.
+    """Lost runs and cleared requests, sent to a coordinator.
 
     Attributes:
-        sender: Node that tells.
+        sender: Node that sends the message.
         crashes: Lost runs.
-        clearances: Contents that were answered whole.
+        clearances: Requests that got a complete response.
     """
 
     sender: str
@@ -57,11 +57,11 @@
 
 @attrs.frozen
 class Block:
-    """A content that no replica gets for a time.
+    """A request that is sent to no replica for a time.
 
     Attributes:
-        content: Its hash.
-        left_ms: How much longer, in milliseconds.
+        content: The request hash.
+        left_ms: Remaining time, in milliseconds.
     """
 
     content: int
@@ -70,13 +70,13 @@
 
 @attrs.frozen
 class Suspicion:
-    """A content that is blocked if one more server ends under it.
+    """A request that is blocked if one more server ends while running it.
 
     Attributes:
-        content: Its hash.
-        left_ms: How much longer it is suspected, in milliseconds.
-        gateway: The only recipient that may send it to a replica; empty if none
-            may.
+        content: The request hash.
+        left_ms: Remaining time of the suspicion, in milliseconds.
+        gateway: The only recipient that may send the request to a replica;
+            empty if none may.
     """
 
     content: int
@@ -86,13 +86,14 @@
 
 @attrs.frozen
 class BlockNews:
-    """All blocked and suspected contents, from a coordinator to its gateways.
+    """All blocked and suspected requests, from a coordinator to its gateways.
 
     Attributes:
         sender: The coordinator.
-        blocks: All that are blocked.
-        cleared: Contents that are not blocked any more before their time.
-        suspicions: All suspected contents.
+        blocks: All blocked requests.
+        cleared: Hashes of requests that were cleared before their block
+            expired.
+        suspicions: All suspected requests.
     """
 
     sender: str
--- a/src/hickorylead/crashes/request_hash.py
+++ b/src/hickorylead/crashes/request_hash.py
@@ -1,4 +1,4 @@
-"""Tells whether two submissions ask for the same thing."""
+"""Hashes by which equal requests are recognized."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Bytes of a hash. Of the 1,000 contents that are remembered at most, one is
-# met by chance by one of 10^16 other requests; 63 bits fit a signed integer.
+# Size of a hash in bytes. With 1,000 stored hashes, one in 10^16 other requests
+# collides with one of them by chance; 63 bits fit a signed integer.
 _HASH_BYTES = 8
 
 
 def hash_request(workspace: str, parts: Iterable[bytes]) -> int:
-    """Returns a hash of what a caller asks for, the same for each submission.
+    """Returns a hash of a request, the same for each submission of it.
 
-    A submission's own id, its deadline and the event that it goes on after
-    differ from one to the next and are no part of it.
+    The submission's id, its deadline and the event after which it resumes
+    differ between submissions and are not included.
 
     Args:
-        workspace: Who asks; another caller's request is another one.
+        workspace: The caller's workspace; equal requests of different
+            workspaces have different hashes.
         parts: Method, target and body.
     """
     digest = hashlib.blake2b(digest_size=_HASH_BYTES)
     for part in (workspace.encode(), *parts):
-        # With its length first, bytes can't move from one part to the next.
+        # Each part is prefixed with its length, so that bytes can't move from
+        # one part to the next.
         digest.update(len(part).to_bytes(8))
         digest.update(part)
     return int.from_bytes(digest.digest()) >> 1
 
 
-def format_request_hash(content: int) -> str:
-    """Returns a hash as logs write it."""
-    return f"{content:016x}"
+def format_request_hash(request_hash: int) -> str:
+    """Returns a hash as it is written in logs."""
+    return f"{request_hash:016x}"
--- a/src/hickorylead/notices/__init__.py
+++ b/src/hickorylead/notices/__init__.py
@@ -1,1 +1,1 @@
-"""What servers say with their answers about requests to come."""
+"""Pauses and leave notices that servers send with their responses."""
--- a/src/hickorylead/notices/messages.py
+++ b/src/hickorylead/notices/messages.py
@@ -1,4 +1,4 @@
-"""Messages about what servers said with their answers."""
+"""Messages about pauses and leave notices in responses of servers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class Pause:
-    """A pause that a server named or that a gateway estimated for it.
+    """A pause that a server asked for or that a gateway estimated for it.
 
     Attributes:
         server: The server.
-        born: When the life began that asked, in Unix milliseconds; 0 if it does
-            not tell.
-        left_ms: How long the pause still lasts, in milliseconds.
+        born: Start of the server's incarnation, in Unix milliseconds; 0 if the
+            server does not report it.
+        left_ms: Remaining duration of the pause, in milliseconds.
         is_estimated: Whether the gateway estimated the duration because the
             server named none. Such a pause ends early if the server runs a
             request that was sent after the refusal.
@@ -31,10 +31,10 @@
 
 @attrs.frozen
 class PauseNews:
-    """A node tells which servers asked some gateway for a pause.
+    """Pauses that servers asked gateways for or gateways estimated.
 
     Attributes:
-        sender: Node that tells.
+        sender: Node that sends the message.
         pauses: The pauses.
     """
 
@@ -44,12 +44,12 @@
 
 @attrs.frozen
 class Leave:
-    """A server said with an answer that it is about to end.
+    """A notice of a server, sent with a response, that it is about to end.
 
     Attributes:
         server: The server.
-        born: When the life began that said so, in Unix milliseconds; 0 if it
-            does not tell.
+        born: Start of the server's incarnation, in Unix milliseconds; 0 if the
+            server does not report it.
     """
 
     server: str
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class LeaveNews:
-    """A gateway tells which servers leave, though control nodes don't know it.
+    """Leaving servers that control nodes still list as ready.
 
     Attributes:
         sender: The gateway.
--- a/src/hickorylead/notices/notice_reporter.py
+++ b/src/hickorylead/notices/notice_reporter.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its home of the notices that it got."""
+"""Reports a gateway's pauses and leave notices to its home coordinator."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# That a server leaves is told again this often, in seconds, until control nodes
-# say so as well.
-RETELL_PERIOD_S = 0.5
+# A leaving server is reported again at this interval, in seconds, until control
+# nodes list it as leaving too.
+REPORT_PERIOD_S = 0.5
 
 
 class NoticeReporter:
-    """The news of one gateway for its home."""
+    """Makes the updates that one gateway sends to its home coordinator."""
 
     def __init__(
         self,
@@ -28,47 +28,49 @@
         notices: notice_store_module.NoticeStore,
         registry: registry_module.Registry,
     ) -> None:
-        """Makes a teller that has told nothing.
+        """Makes a reporter that has reported nothing.
 
         Args:
             node: Name of the gateway.
-            notices: The notices that it got.
-            registry: Backend servers, as control nodes tell of them.
+            notices: Notices that the gateway received.
+            registry: Backend servers, as reported by control nodes.
         """
         self._node = node
-        self._book = notices
+        self._notices = notices
         self._registry = registry
-        self._told: set[messages.Leave] = set()
-        self._next_retell = -1e9
+        self._reported_leaves: set[messages.Leave] = set()
+        self._next_report_at = -1e9
 
     def collect_messages(self, home: str, now: float) -> list[Sent]:
-        """Returns what the home is to be told now.
+        """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's coordinator; empty if it has none.
+            home: The gateway's home coordinator; empty if it has none.
             now: Present time.
         """
-        if not home or not len(self._book):
+        if not home or not len(self._notices):
             return []
         sent: list[Sent] = []
-        pauses = self._book.describe_untold(now)
+        pauses = self._notices.pop_unreported(now)
         if pauses:
             sent.append((home, messages.PauseNews(self._node, pauses)))
-        leaves = self._list_unknown(now)
-        if leaves and (now >= self._next_retell or leaves - self._told):
-            self._next_retell = now + RETELL_PERIOD_S
-            news = messages.LeaveNews(
+        leaves = self._list_unconfirmed(now)
+        if leaves and (
+            now >= self._next_report_at or leaves - self._reported_leaves
+        ):
+            self._next_report_at = now + REPORT_PERIOD_S
+            update = messages.LeaveNews(
                 self._node, tuple(sorted(leaves, key=lambda x: x.server))
             )
-            sent.append((home, news))
-        self._told = leaves
+            sent.append((home, update))
+        self._reported_leaves = leaves
         return sent
 
-    def _list_unknown(self, now: float) -> set[messages.Leave]:
-        """Returns the servers that control nodes do not take for leaving."""
+    def _list_unconfirmed(self, now: float) -> set[messages.Leave]:
+        """Returns the leaving servers that control nodes list as ready."""
         return {
             leave
-            for leave in self._book.list_leaving(now)
+            for leave in self._notices.list_leaving(now)
             if (known := self._registry.instances.get(leave.server)) is not None
             and known.phase == instances.PHASE_READY
             and known.born == leave.born
--- a/src/hickorylead/notices/pause_relay.py
+++ b/src/hickorylead/notices/pause_relay.py
@@ -1,7 +1,8 @@
-"""What one coordinator does about servers that ask for a pause.
+"""Relays pauses of servers between gateways and coordinators.
 
-It tells what one gateway was asked for to all others, which prefer other
-servers meanwhile. Without it each of them would meet a refusal of its own.
+A coordinator forwards the pauses that one gateway reports to all other
+gateways, which then prefer other servers. Without this, each gateway would meet
+a refusal of its own.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# Pauses are told at once, but no more often than this, in seconds, and no more
-# of them in one message: the others follow with the next one, if they last.
-TELL_PERIOD_S = 0.25
-MAX_TOLD = 12
+# Pauses are sent at once, but at most one message is sent in this time, in
+# seconds, with at most so many pauses. The rest follow in the next message if
+# they are still in force.
+SEND_PERIOD_S = 0.25
+MAX_PAUSES_PER_UPDATE = 12
 
 
 class PauseRelay:
-    """The pauses that one coordinator knows of."""
+    """The pauses that one coordinator has received."""
 
     def __init__(self, node: str) -> None:
-        """Makes an exchange that knows of no pause.
+        """Makes a relay without pauses.
 
         Args:
             node: Name of the coordinator.
@@ -35,27 +37,27 @@
         # Keys of the pauses still to be sent, oldest first.
         self._for_gateways: dict[pauses_module.PauseKey, None] = {}
         self._for_coordinators: dict[pauses_module.PauseKey, None] = {}
-        self._next_tell = -1e9
+        self._next_send_at = -1e9
 
     def merge(
-        self, news: messages.PauseNews, *, is_forwarded: bool, now: float
+        self, update: messages.PauseNews, *, is_forwarded: bool, now: float
     ) -> None:
-        """Takes pauses.
+        """Merges received pauses and queues the significant ones for sending.
 
         Args:
-            news: The pauses.
-            is_forwarded: Whether another coordinator tells them, and has told
-                all coordinators.
+            update: The pauses.
+            is_forwarded: Whether another coordinator forwarded them; it has
+                sent them to all coordinators.
             now: Present time.
         """
-        found = [
+        new_keys = [
             pauses_module.make_key(pause)
-            for pause in news.pauses
-            if self._pauses.take(pause, now)
+            for pause in update.pauses
+            if self._pauses.merge(pause, now)
         ]
-        self._for_gateways |= dict.fromkeys(found)
+        self._for_gateways |= dict.fromkeys(new_keys)
         if not is_forwarded:
-            self._for_coordinators |= dict.fromkeys(found)
+            self._for_coordinators |= dict.fromkeys(new_keys)
 
     def collect_messages(
         self,
@@ -64,37 +66,37 @@
         coordinators: Iterable[str],
         now: float,
     ) -> list[Sent]:
-        """Returns what other nodes are to be told now."""
-        if now < self._next_tell or not self._for_gateways:
+        """Returns the messages that are due to other nodes."""
+        if now < self._next_send_at or not self._for_gateways:
             return []
-        self._next_tell = now + TELL_PERIOD_S
+        self._next_send_at = now + SEND_PERIOD_S
         return [
-            *self._tell(gateways, self._for_gateways, now),
-            *self._tell(coordinators, self._for_coordinators, now),
+            *self._make_updates(gateways, self._for_gateways, now),
+            *self._make_updates(coordinators, self._for_coordinators, now),
         ]
 
     def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
-        """Returns what a gateway is told that has started or turned here."""
-        found = self._pauses.describe_all(now)
-        if not found:
+        """Returns all pauses for a gateway that started or changed home."""
+        pauses = self._pauses.describe_all(now)
+        if not pauses:
             return []
-        return [(gateway, messages.PauseNews(self._node, found))]
+        return [(gateway, messages.PauseNews(self._node, pauses))]
 
     def prune(self, now: float) -> None:
-        """Drops what is over; call it now and then."""
-        self._pauses.forget(now)
+        """Drops pauses that have ended; to be called periodically."""
+        self._pauses.prune(now)
 
-    def _tell(
+    def _make_updates(
         self,
         nodes: Iterable[str],
-        untold: dict[pauses_module.PauseKey, None],
+        unsent: dict[pauses_module.PauseKey, None],
         now: float,
     ) -> list[Sent]:
-        keys = list(untold)[:MAX_TOLD]
+        keys = list(unsent)[:MAX_PAUSES_PER_UPDATE]
         for key in keys:
-            del untold[key]
-        found = self._pauses.describe(keys, now)
-        if not found:
+            del unsent[key]
+        pauses = self._pauses.describe(keys, now)
+        if not pauses:
             return []
-        news = messages.PauseNews(self._node, found)
-        return [(node, news) for node in nodes]
+        update = messages.PauseNews(self._node, pauses)
+        return [(node, update) for node in nodes]
--- a/src/hickorylead/notices/pauses.py
+++ b/src/hickorylead/notices/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses that servers asked any gateway for, as other nodes told them."""
+"""Pauses that servers asked gateways for, merged from reports of nodes."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 # Maximum number of stored pauses, about 200 bytes each: all replicas may ask
 # for one at the same time.
 MAX_PAUSES = 1024
-# A pause that ends later than the one known before by less than this share of
-# it is no news for others: a server asks each gateway in turn.
-NEWS_SHARE = 0.5
+# A pause that ends later than the known one by no more than this share of its
+# duration is not sent on: a server asks each gateway in turn.
+MIN_CHANGE_SHARE = 0.5
 
 # Server name and whether the pause is estimated. The two kinds are stored
-# separately because an answer ends only an estimated pause early.
+# separately because a response ends only an estimated pause early.
 PauseKey: TypeAlias = tuple[str, bool]
 
 
 @attrs.define
-class _Told:
+class _KnownPause:
     """A named or an estimated pause of one incarnation of a server.
 
     Attributes:
@@ -58,55 +58,57 @@
 
     def __init__(self) -> None:
         """Makes a table without pauses."""
-        self._told: dict[PauseKey, _Told] = {}
+        self._pauses: dict[PauseKey, _KnownPause] = {}
 
     def __len__(self) -> int:
         """Returns the number of stored pauses, including ended ones."""
-        return len(self._told)
+        return len(self._pauses)
 
-    def take(self, pause: messages.Pause, now: float) -> bool:
-        """Takes a pause; says whether it is news for others."""
+    def merge(self, pause: messages.Pause, now: float) -> bool:
+        """Merges a pause; returns whether it should be sent to other nodes."""
         left_s = pause.left_ms / 1000.0
         if left_s <= 0.0:
             return False
         key = make_key(pause)
         refused_at = now - pause.age_ms / 1000.0
-        known = self._told.get(key)
+        known = self._pauses.get(key)
         if known is not None and pause.born < known.born:
             return False
         if known is None or pause.born > known.born:
             self._make_room(now)
-            self._told[key] = _Told(pause.born, refused_at, now + left_s)
+            self._pauses[key] = _KnownPause(
+                pause.born, refused_at, now + left_s
+            )
             return True
         if refused_at <= known.served_sent_at:
             return False
-        is_news = (
+        is_significant = (
             known.is_ended_early
-            or now + left_s - known.until > NEWS_SHARE * left_s
+            or now + left_s - known.until > MIN_CHANGE_SHARE * left_s
         )
         # A request sent before a later refusal must not end the pause early.
         known.refused_at = max(known.refused_at, refused_at)
-        if is_news:
+        if is_significant:
             known.until = now + left_s
-        return is_news
+        return is_significant
 
-    def find_until(self, server: str, born: int) -> float:
+    def get_pause_end(self, server: str, born: int) -> float:
         """Returns when the last pause of a server incarnation ends or ended.
 
         Pauses that were ended early do not count.
         """
         until = -1e9
         for is_estimated in (False, True):
-            known = self._told.get((server, is_estimated))
+            known = self._pauses.get((server, is_estimated))
             if (
                 known is not None
-                and not _is_other_life(known, born)
+                and not _is_other_incarnation(known, born)
                 and not known.is_ended_early
             ):
                 until = max(until, known.until)
         return until
 
-    def note_served(self, server: str, born: int, sent_at: float) -> None:
+    def record_served(self, server: str, born: int, sent_at: float) -> None:
         """Records that a server incarnation ran a request.
 
         Ends its estimated pause if the request was sent no earlier than the
@@ -117,11 +119,11 @@
             born: Start of the incarnation, in Unix milliseconds; 0 if unknown.
             sent_at: When the request was sent.
         """
-        named = self._told.get((server, False))
+        named = self._pauses.get((server, False))
         if named is not None and named.until <= sent_at:
-            del self._told[server, False]
-        estimated = self._told.get((server, True))
-        if estimated is not None and not _is_other_life(estimated, born):
+            del self._pauses[server, False]
+        estimated = self._pauses.get((server, True))
+        if estimated is not None and not _is_other_incarnation(estimated, born):
             estimated.served_sent_at = max(estimated.served_sent_at, sent_at)
 
     def describe(
@@ -131,35 +133,35 @@
         return tuple(
             messages.Pause(
                 server,
-                told.born,
-                round(1000 * (told.until - now)),
+                known.born,
+                round(1000 * (known.until - now)),
                 is_estimated,
-                max(0, round(1000 * (now - told.refused_at))),
+                max(0, round(1000 * (now - known.refused_at))),
             )
             for server, is_estimated in keys
-            if (told := self._told.get((server, is_estimated))) is not None
-            and told.until > now
-            and not told.is_ended_early
+            if (known := self._pauses.get((server, is_estimated))) is not None
+            and known.until > now
+            and not known.is_ended_early
         )
 
     def describe_all(self, now: float) -> tuple[messages.Pause, ...]:
-        """Returns all pauses in force, as another node is told them."""
-        return self.describe(self._told, now)
+        """Returns messages for all pauses in force."""
+        return self.describe(self._pauses, now)
 
-    def forget(self, ended_before: float) -> None:
+    def prune(self, ended_before: float) -> None:
         """Drops the pauses that ended before a time."""
-        for key, told in list(self._told.items()):
-            if told.until <= ended_before:
-                del self._told[key]
+        for key, known in list(self._pauses.items()):
+            if known.until <= ended_before:
+                del self._pauses[key]
 
     def _make_room(self, now: float) -> None:
-        if len(self._told) < MAX_PAUSES:
+        if len(self._pauses) < MAX_PAUSES:
             return
-        self.forget(now)
-        if len(self._told) >= MAX_PAUSES:
-            first = min(self._told, key=lambda k: self._told[k].until)
-            del self._told[first]
+        self.prune(now)
+        if len(self._pauses) >= MAX_PAUSES:
+            first = min(self._pauses, key=lambda k: self._pauses[k].until)
+            del self._pauses[first]
 
 
-def _is_other_life(known: _Told, born: int) -> bool:
+def _is_other_incarnation(known: _KnownPause, born: int) -> bool:
     return bool(known.born and born and known.born != born)
--- a/src/hickorylead/ratelimits/__init__.py
+++ b/src/hickorylead/ratelimits/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits that backend servers name, kept by all gateways together."""
+"""Rate limits of backend servers, kept by all gateways together."""
--- a/src/hickorylead/ratelimits/allocator.py
+++ b/src/hickorylead/ratelimits/allocator.py
@@ -1,70 +1,86 @@
-"""Permits for servers that name a rate limit, shared out by one coordinator.
+"""Token buckets from which one coordinator grants permits to gateways.
 
-A server's limit holds for all gateways together, and they are many more than
-the requests that it takes: a part for each would be a fraction of a request,
-and a whole one for each a multiple of the limit. So one token bucket a server
-gives permits to those gateways that have a use for them.
+A server's limit holds for all gateways together, and there are many more
+gateways than requests that it accepts. An equal share for each gateway would be
+a fraction of a request, and one request for each a multiple of the limit.
+So one token bucket a server grants permits to the gateways that can use them.
 """
 
 from __future__ import annotations
 
 import attrs
 
-from hickorylead.ratelimits import messages, table as table_module
+from hickorylead.ratelimits import limit_table, messages
 
-# Permits are used within a time of being asked for, or given back: this time,
-# in seconds, and that in which the server takes so many requests. The less it
-# takes, the longer it is until a gateway that has a permit sends it something;
-# all that are out stay few.
+# Permits are used within their lease, counted from the request for them, or
+# returned. The lease is the sum, in seconds, of the first of these times and of
+# the time in which the server accepts so many requests, up to the third. The
+# lower the limit, the longer it takes until a gateway with a permit has a
+# request for the server; the number of outstanding permits stays small.
 LEASE_S = 1.0
 LEASE_REQUESTS = 2.0
-LONGEST_LEASE_S = 3.0
-# A bucket holds what its server takes in this time, in seconds, and one more.
-# With the leases a window of 4 s sees at most what the server takes in 5.5 s,
-# and three.
+MAX_LEASE_S = 3.0
+# A bucket holds what its server accepts in this time, in seconds, and one more
+# request. With the leases, a window of 4 s sees at most what the server accepts
+# in 5.5 s, and three more requests.
 BURST_S = 0.5
-# A limit that is new here and was known elsewhere for longer than this may have
-# had another coordinator in charge, whose permits may still be used. The bucket
-# begins that much in debt, in seconds: such a coordinator is taken for lost
-# after 1.3 s, and what it gave out before is within the limit.
+# If a limit is new to this coordinator but has been known to others for longer
+# than this, another coordinator may have granted permits that are still in use.
+# The bucket then starts in debt by what the server accepts in this time, in
+# seconds: such a coordinator is treated as lost after 1.3 s, and what it
+# granted before is within the limit.
 TAKEOVER_S = 1.5
-# Where no leader is heard the network may be cut, with a coordinator in charge
-# on either side; each then gives out this share of the limit.
-CUT_SHARE = 0.5
-# Servers that take next to nothing are still asked this often, as requests a
-# second: only their answers tell when the need is over.
-LEAST_PER_S = 0.1
-# Permits that one gateway gets for a server at once; it asks again.
+# Without recent contact with a leader the network may be partitioned, with an
+# owner of the server on either side; each then grants this share of the limit.
+PARTITION_SHARE = 0.5
+# Servers with a lower limit are still sent this many requests a second: only
+# their responses show when the overload is over.
+MIN_RATE_PER_S = 0.1
+# Maximum number of permits in one grant to a gateway for a server; it requests
+# more afterwards.
 MAX_PERMITS = 8
-# Requests that have nowhere else to go count for about this long, in seconds.
-# In it others, which have, leave them a part of what the bucket can hold, and
-# who gets no permit is told to come back after those that got none before.
-NEED_MEMORY_S = 1.0
+# Requests that no other server can take count for about this long, in seconds.
+# During this time, requests that have alternatives leave them a share of the
+# bucket's capacity, and a gateway that gets no permit has to wait until after
+# those that were refused before.
+NEED_RETENTION_S = 1.0
 RESERVED_SHARE = 0.5
-# Longest time after which a gateway is told to ask again, in seconds.
-LONGEST_WAIT_S = 10.0
+# Maximum time after which a gateway is told to request permits again, in
+# seconds.
+MAX_WAIT_S = 10.0
 
 
 @attrs.define
 class _Bucket:
+    """Token bucket of one server.
+
+    Attributes:
+        born: Start of the server's incarnation, in Unix milliseconds.
+        tokens: Permits that can be granted; negative while in debt.
+        filled_at: When tokens were last added.
+        unmet: Refused permits for requests that no other server can take;
+            decays with time.
+        needed_at: When such a request last wanted a permit.
+    """
+
     born: int
     tokens: float
     filled_at: float
-    missed: float = 0.0
+    unmet: float = 0.0
     needed_at: float = -1e9
 
 
 class Allocator:
-    """Token buckets of the servers that this coordinator is in charge of."""
+    """Token buckets of the servers whose permits this coordinator grants."""
 
     def __init__(self) -> None:
         """Makes an allocator without buckets."""
         self._buckets: dict[str, _Bucket] = {}
 
-    def allot(
+    def allocate(
         self,
         ask: messages.Ask,
-        known: table_module.Known,
+        known: limit_table.KnownLimit,
         *,
         is_fresh: bool,
         now: float,
@@ -72,66 +88,74 @@
         """Returns the permits that a gateway gets.
 
         Args:
-            ask: What it asks for.
-            known: The limit.
-            is_fresh: Whether this coordinator heard a leader lately.
+            ask: The gateway's request for permits.
+            known: The server's limit.
+            is_fresh: Whether this coordinator had recent contact with a leader.
             now: Present time.
         """
         server = ask.limit.server
-        share = 1.0 if is_fresh else CUT_SHARE
-        per_s = share * max(known.per_s, LEAST_PER_S)
+        share = 1.0 if is_fresh else PARTITION_SHARE
+        per_s = share * max(known.per_s, MIN_RATE_PER_S)
         bucket = self._fill(server, known, per_s, now)
-        most = _find_most(per_s)
-        bucket.tokens = min(most, bucket.tokens + max(0, ask.returned))
+        capacity = _get_capacity(per_s)
+        bucket.tokens = min(capacity, bucket.tokens + max(0, ask.returned))
         reserved = 0.0
         if ask.is_needed:
             bucket.needed_at = now
-        elif now - bucket.needed_at < NEED_MEMORY_S:
-            reserved = RESERVED_SHARE * most
+        elif now - bucket.needed_at < NEED_RETENTION_S:
+            reserved = RESERVED_SHARE * capacity
         wanted = min(MAX_PERMITS, max(0, ask.wanted))
         count = min(wanted, max(0, int(bucket.tokens - reserved)))
         bucket.tokens -= count
         unmet = wanted - count
-        lease_ms = int(1000 * find_lease(known.per_s))
+        lease_ms = int(1000 * get_lease_s(known.per_s))
         if not unmet:
             return messages.Permits(server, known.born, count, lease_ms)
         if ask.is_needed:
-            bucket.missed += unmet
-        wait_s = (max(1.0, bucket.missed) - bucket.tokens) / per_s
-        wait_ms = int(1000 * min(LONGEST_WAIT_S, max(0.0, wait_s)))
+            bucket.unmet += unmet
+        wait_s = (max(1.0, bucket.unmet) - bucket.tokens) / per_s
+        wait_ms = int(1000 * min(MAX_WAIT_S, max(0.0, wait_s)))
         return messages.Permits(server, known.born, count, lease_ms, wait_ms)
 
-    def forget(self, now: float) -> None:
-        """Drops the buckets that nobody asked of for long."""
+    def prune(self, now: float) -> None:
+        """Drops the buckets that have not been used for long."""
         for server, bucket in list(self._buckets.items()):
-            if now - bucket.filled_at > table_module.MEMORY_S:
+            if now - bucket.filled_at > limit_table.RETENTION_S:
                 del self._buckets[server]
 
     def _fill(
-        self, server: str, known: table_module.Known, per_s: float, now: float
+        self,
+        server: str,
+        known: limit_table.KnownLimit,
+        per_s: float,
+        now: float,
     ) -> _Bucket:
         bucket = self._buckets.get(server)
         if bucket is None or bucket.born != known.born:
-            is_first = now - known.named_at < TAKEOVER_S
-            tokens = _find_most(per_s) if is_first else -per_s * TAKEOVER_S
+            is_newly_named = now - known.named_at < TAKEOVER_S
+            tokens = (
+                _get_capacity(per_s) if is_newly_named else -per_s * TAKEOVER_S
+            )
             bucket = _Bucket(known.born, tokens, now)
             self._buckets[server] = bucket
-        passed_s = now - bucket.filled_at
+        elapsed_s = now - bucket.filled_at
         bucket.filled_at = now
-        bucket.tokens = min(_find_most(per_s), bucket.tokens + per_s * passed_s)
-        bucket.missed *= max(0.0, 1.0 - passed_s / NEED_MEMORY_S)
+        bucket.tokens = min(
+            _get_capacity(per_s), bucket.tokens + per_s * elapsed_s
+        )
+        bucket.unmet *= max(0.0, 1.0 - elapsed_s / NEED_RETENTION_S)
         return bucket
 
 
-def find_lease(per_s: float) -> float:
+def get_lease_s(per_s: float) -> float:
     """Returns how long a permit is valid, in seconds.
 
     Args:
-        per_s: Requests a second that its server takes.
+        per_s: Requests a second that its server accepts.
     """
-    own_s = LEASE_REQUESTS / max(per_s, LEAST_PER_S)
-    return min(LONGEST_LEASE_S, LEASE_S + own_s)
+    usage_s = LEASE_REQUESTS / max(per_s, MIN_RATE_PER_S)
+    return min(MAX_LEASE_S, LEASE_S + usage_s)
 
 
-def _find_most(per_s: float) -> float:
+def _get_capacity(per_s: float) -> float:
     return 1.0 + BURST_S * per_s
--- a/src/hickorylead/ratelimits/messages.py
+++ b/src/hickorylead/ratelimits/messages.py
@@ -1,4 +1,4 @@
-"""Messages about servers that name a rate limit."""
+"""Messages about rate limits of servers and permits to send requests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @attrs.frozen
 class RateLimit:
-    """What a server told of its rate limit with an answer.
+    """What a server reported about its rate limit with a response.
 
     Attributes:
         server: The server.
-        born: When the life began that told it, in Unix milliseconds; 0 if it
-            does not tell.
-        per_s: Requests a second that it takes from all gateways together.
-        is_named: Whether it names one; False once it has stopped to.
-        age_ms: How long ago it told this, in milliseconds.
-        named_ms: How long ago it was first known to name one without a break,
-            in milliseconds.
+        born: Start of the server's incarnation, in Unix milliseconds; 0 if the
+            server does not report it.
+        per_s: Requests a second that it accepts from all gateways together.
+        is_named: Whether the server names a limit; False once it has stopped.
+        age_ms: Time since this report, in milliseconds.
+        named_ms: How long the server is known to have named a limit without
+            interruption, in milliseconds.
     """
 
     server: str
@@ -32,10 +32,10 @@
 
 @attrs.frozen
 class LimitNews:
-    """A node tells which servers name a limit, or have stopped to.
+    """Limits of servers that name one or have stopped naming one.
 
     Attributes:
-        sender: Node that tells.
+        sender: Node that sends the message.
         limits: The limits.
     """
 
@@ -45,13 +45,14 @@
 
 @attrs.frozen
 class Ask:
-    """A gateway asks for permits to send requests to one server.
+    """A gateway's request for permits for one server.
 
     Attributes:
         limit: The limit, as the gateway knows it.
-        wanted: Permits that it could use now.
-        is_needed: Whether a request waits for one that has nowhere else to go.
-        returned: Permits that it got and did not use in their time.
+        wanted: Number of permits that it could use now.
+        is_needed: Whether a request that no other server can take waits for a
+            permit.
+        returned: Number of earlier permits that expired unused.
     """
 
     limit: RateLimit
@@ -62,12 +63,12 @@
 
 @attrs.frozen
 class PermitRequest:
-    """A gateway asks for permits; its home passes on what others decide.
+    """A gateway's request for permits, forwarded to coordinators by its home.
 
     Attributes:
         gateway: The gateway.
-        number: Its number of the request, which the reply repeats.
-        asks: One a server.
+        number: The gateway's number of the request, repeated in the reply.
+        asks: One for each server.
     """
 
     gateway: str
@@ -77,14 +78,16 @@
 
 @attrs.frozen
 class Permits:
-    """Permits for one server; each allows to send it one request.
+    """Permits for one server; each allows sending it one request.
 
     Attributes:
         server: The server.
-        born: The life that they are for; see `RateLimit`.
-        count: How many.
-        lease_ms: How long they are valid from the request on, in milliseconds.
-        wait_ms: If there were too few, when to ask again, in milliseconds.
+        born: Start of the incarnation that they are for; see `RateLimit`.
+        count: Number of permits.
+        lease_ms: How long they are valid, counted from the request for them, in
+            milliseconds.
+        wait_ms: When to request permits again if there were too few, in
+            milliseconds.
     """
 
     server: str
@@ -96,12 +99,12 @@
 
 @attrs.frozen
 class PermitReply:
-    """A coordinator answers a request for permits.
+    """A coordinator's reply to a request for permits.
 
     Attributes:
-        gateway: Who asked.
-        number: Its number of the request.
-        permits: One a server.
+        gateway: The gateway that requested them.
+        number: The gateway's number of the request.
+        permits: One for each server.
     """
 
     gateway: str
--- a/src/hickorylead/ratelimits/permit_broker.py
+++ b/src/hickorylead/ratelimits/permit_broker.py
@@ -1,9 +1,9 @@
-"""What one coordinator does about servers that name a rate limit.
+"""Shares rate limits of servers and brokers permits, at one coordinator.
 
-Gateways tell their home what servers named and ask it for permits. Coordinators
-tell each other and their gateways which servers name a limit. For each server
-one coordinator gives the permits out; a home passes requests on to it, and its
-replies back.
+Gateways report the limits that servers name to their home coordinator and
+request permits from it. Coordinators send limits to each other and to their
+gateways. For each server one coordinator, its owner, grants the permits; a home
+coordinator forwards requests to the owner and replies to the gateway.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import attrs
 
-from hickorylead.ratelimits import allocator, messages, table as table_module
+from hickorylead.ratelimits import allocator, limit_table, messages
 from hickorylead.roles import nodes
 
 if TYPE_CHECKING:
@@ -27,12 +27,13 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# All limits are told again this often, in seconds, to nodes that missed some.
-RETELL_PERIOD_S = 10.0
+# All limits are sent again at this interval, in seconds, for nodes that missed
+# some.
+FULL_SYNC_PERIOD_S = 10.0
 
 
 class PermitBroker:
-    """The limits that one coordinator knows, and the permits it gives."""
+    """The limits that one coordinator knows, and the permits it grants."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         neighbours: peer_directory_module.PeerDirectory,
         gateways: gateways_module.Gateways,
     ) -> None:
-        """Makes an exchange that knows of no limit.
+        """Makes a broker without limits.
 
         Args:
             node: Name of the coordinator.
@@ -52,25 +53,29 @@
         """
         self._node = node
         self._registry = registry
-        self._neighbours = neighbours
+        self._peers = neighbours
         self._gateways = gateways
-        self._table = table_module.Table()
+        self._table = limit_table.LimitTable()
         self._allocator = allocator.Allocator()
-        self._next_retell = 0.0
+        self._next_sync_at = 0.0
 
-    def merge_limits(self, news: messages.LimitNews, now: float) -> list[Sent]:
-        """Takes limits; returns what others are to be told.
+    def merge_limits(
+        self, update: messages.LimitNews, now: float
+    ) -> list[Sent]:
+        """Merges limits; returns the messages to send to other nodes.
 
-        What another coordinator tells, it has told all coordinators.
+        A limit that another coordinator sent has been sent to all coordinators.
         """
-        found = [x.server for x in news.limits if self._table.take(x, now)]
-        if not found:
+        changed = [x.server for x in update.limits if self._table.merge(x, now)]
+        if not changed:
             return []
-        told = messages.LimitNews(self._node, self._table.describe(found, now))
+        forwarded = messages.LimitNews(
+            self._node, self._table.describe(changed, now)
+        )
         targets = self._gateways.list_homed(now)
-        if news.sender not in self._neighbours.known:
-            targets += self._neighbours.list_alive(now)
-        return [(node, told) for node in targets]
+        if update.sender not in self._peers.known:
+            targets += self._peers.list_alive(now)
+        return [(node, forwarded) for node in targets]
 
     def handle_request(
         self,
@@ -80,31 +85,35 @@
         is_fresh: bool,
         now: float,
     ) -> list[Sent]:
-        """Returns the permits for a request, or passes it on.
+        """Grants the permits of a request, or forwards it to the owners.
 
         Args:
             request: The request.
-            sender: Who sent it here: the gateway, or its home.
-            is_fresh: Whether this coordinator heard a leader lately.
+            sender: Node that sent it here: the gateway, or its home
+                coordinator.
+            is_fresh: Whether this coordinator had recent contact with a leader.
             now: Present time.
         """
-        # The gateway may know of a limit that its home has not heard of.
+        # The gateway may know a limit that its home coordinator has not
+        # received.
         limits = tuple(ask.limit for ask in request.asks)
         sent = self.merge_limits(messages.LimitNews(sender, limits), now)
         asks = collections.defaultdict(list)
         for ask in request.asks:
-            # What another coordinator passed on is decided here, whoever is in
-            # charge by now: it could go round in a circle.
-            is_passed = sender != request.gateway
-            node = self._node if is_passed else self._find_in_charge(ask, now)
+            # A forwarded request is decided here, whichever coordinator owns
+            # the server by now: otherwise it could be forwarded in a circle.
+            is_forwarded = sender != request.gateway
+            node = self._node if is_forwarded else self._find_owner(ask, now)
             asks[node].append(ask)
-        own = asks.pop(self._node, [])
+        own_asks = asks.pop(self._node, [])
         sent += [
-            (node, attrs.evolve(request, asks=tuple(others)))
-            for node, others in asks.items()
+            (node, attrs.evolve(request, asks=tuple(other_asks)))
+            for node, other_asks in asks.items()
         ]
-        if own:
-            permits = tuple(self._allot(ask, is_fresh, now) for ask in own)
+        if own_asks:
+            permits = tuple(
+                self._allocate(ask, is_fresh, now) for ask in own_asks
+            )
             reply = messages.PermitReply(
                 request.gateway, request.number, permits
             )
@@ -112,51 +121,56 @@
         return sent
 
     def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
-        """Returns what a gateway is told that has started or turned here.
+        """Returns all limits for a gateway that started or changed home.
 
-        It would send freely to servers in need until each told it.
+        It would otherwise send requests to servers without permits until each
+        server reports its limit to it.
         """
-        return self._describe_all([gateway], now)
+        return self._make_full_updates([gateway], now)
 
     def tick(self, now: float) -> list[Sent]:
-        """Lets time pass; returns what is told again."""
-        if now < self._next_retell:
+        """Returns all limits for all nodes if they are due again."""
+        if now < self._next_sync_at:
             return []
-        self._next_retell = now + RETELL_PERIOD_S
-        self._table.forget(now)
-        self._allocator.forget(now)
+        self._next_sync_at = now + FULL_SYNC_PERIOD_S
+        self._table.prune(now)
+        self._allocator.prune(now)
         targets = self._gateways.list_homed(now)
-        return self._describe_all(
-            [*targets, *self._neighbours.list_alive(now)], now
+        return self._make_full_updates(
+            [*targets, *self._peers.list_alive(now)], now
         )
 
-    def _describe_all(self, targets: Iterable[str], now: float) -> list[Sent]:
+    def _make_full_updates(
+        self, targets: Iterable[str], now: float
+    ) -> list[Sent]:
         if not len(self._table):
             return []
-        news = messages.LimitNews(self._node, self._table.describe_all(now))
-        return [(node, news) for node in targets]
+        update = messages.LimitNews(self._node, self._table.describe_all(now))
+        return [(node, update) for node in targets]
 
-    def _find_in_charge(self, ask: messages.Ask, now: float) -> str:
-        """Returns the coordinator that gives the permits of a server.
+    def _find_owner(self, ask: messages.Ask, now: float) -> str:
+        """Returns the coordinator that grants the permits of a server.
 
-        One of the server's own zone while any is alive: when that zone is cut
-        off, the gateways that reach the server reach it as well.
+        This is one of the server's own zone while any is alive: when that zone
+        is partitioned from the others, the gateways that reach the server also
+        reach this coordinator.
         """
         server = ask.limit.server
         known = self._registry.instances.get(server)
         zone = known.zone if known else nodes.get_zone(self._node)
-        return self._neighbours.find_owner(zone, server, now)
+        return self._peers.find_owner(zone, server, now)
 
-    def _allot(
+    def _allocate(
         self, ask: messages.Ask, is_fresh: bool, now: float
     ) -> messages.Permits:
         limit = ask.limit
         known = self._table.find(limit.server, limit.born, now)
         if known is None:
-            # It has stopped to name a limit, and the gateway is told so by
-            # itself: until then it may send what it wants to.
+            # The server has stopped naming a limit, and the gateway is sent
+            # that update separately: until then all the permits that it wants
+            # are granted.
             lease_ms = int(1000 * allocator.LEASE_S)
             return messages.Permits(
                 limit.server, limit.born, ask.wanted, lease_ms
             )
-        return self._allocator.allot(ask, known, is_fresh=is_fresh, now=now)
+        return self._allocator.allocate(ask, known, is_fresh=is_fresh, now=now)
--- a/src/hickorylead/ratelimits/permit_pool.py
+++ b/src/hickorylead/ratelimits/permit_pool.py
@@ -1,7 +1,8 @@
-"""What a gateway does about servers that name a rate limit.
+"""Rate limits and permits at one gateway.
 
-A server that names one gets a request only for a permit. Permits are asked of
-the gateway's home as requests could use them, and are valid for a short time.
+A server that names a rate limit is sent a request only with a permit. The
+gateway requests permits from its home coordinator when requests could use them;
+they are valid for a short time.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 import attrs
 
 from hickorylead.admission import budget
-from hickorylead.ratelimits import allocator, messages, table as table_module
+from hickorylead.ratelimits import allocator, limit_table, messages
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -21,89 +22,93 @@
 
     from hickorylead.forwarding import model
 
-# Permits that requests could use, but do not depend on, are asked for this
-# often, in seconds.
-ASK_PERIOD_S = 0.5
-# A request for permits without a reply is taken for lost after this, in
+# Permits that requests could use, but do not depend on, are requested at this
+# interval, in seconds.
+REQUEST_PERIOD_S = 0.5
+# A request for permits without a reply is treated as lost after this, in
 # seconds: a round trip through two coordinators takes some milliseconds.
-LOST_S = 0.25
-# Without a reply to any request for this long, in seconds, the gateway sends
-# its own part of each limit: its home and the next one are lost, or it is cut
-# off, and servers that it reaches would stay idle. Another home is found in
-# 1.2 s.
-ALONE_S = 1.5
-# What servers named is told again to the home this often, in seconds.
-RETELL_PERIOD_S = 5.0
+REPLY_TIMEOUT_S = 0.25
+# Without a reply to any request for this long, in seconds, the gateway uses a
+# local share of each limit: its home coordinator and the next one are lost, or
+# the gateway is partitioned from them, and servers that it reaches would stay
+# idle. Another home coordinator is found in 1.2 s.
+LOCAL_BUDGET_AFTER_S = 1.5
+# Limits that servers named are reported to the home coordinator again at this
+# interval, in seconds.
+REPORT_PERIOD_S = 5.0
 
 
 @attrs.define
 class _Account:
-    """What one gateway holds and wants of one server.
+    """Permits and demand of one gateway for one server.
 
     Attributes:
-        expiries: When each permit ends, the first one first.
-        wanted: Requests that could have used a permit since the last ask.
-        is_needed: Whether one of them has nowhere else to go.
-        returned: Permits that ended unused and were not told of yet.
-        asked_at: When permits were asked for, while no reply has come.
-        denied_until: When there may be permits again.
-        alone: Permits that the gateway has by itself, without coordinators.
-        alone_at: When these were counted last.
+        expiries: When each permit expires, the earliest first.
+        wanted: Requests that could have used a permit since permits were last
+            requested.
+        is_needed: Whether one of them can be sent to no other server.
+        returned: Permits that expired unused and were not reported yet.
+        requested_at: When permits were requested, while no reply has arrived.
+        denied_until: When permits may be available again.
+        local_tokens: Permits of the gateway's local share, used without
+            coordinators.
+        local_updated_at: When the local tokens were last updated.
     """
 
     expiries: collections.deque[float] = attrs.field(factory=collections.deque)
     wanted: int = 0
     is_needed: bool = False
     returned: int = 0
-    asked_at: float = -1e9
+    requested_at: float = -1e9
     denied_until: float = -1e9
-    alone: float = 0.0
-    alone_at: float | None = None
+    local_tokens: float = 0.0
+    local_updated_at: float | None = None
 
 
 class PermitPool:
     """The limits that a gateway knows, and its permits."""
 
     def __init__(self, node: str, *, first: int, rng: random.Random) -> None:
-        """Makes permits of a gateway that knows of no limit.
+        """Makes a pool without limits and permits.
 
         Args:
             node: Name of the gateway.
-            first: Number of its first request, another one in each life.
-            rng: Spreads what gateways send that are on their own.
+            first: Number of its first request, different in each incarnation.
+            rng: Randomizes the initial local tokens, so that gateways without
+                coordinators do not all send at once.
         """
         self._node = node
         self._rng = rng
         self._numbers = itertools.count(first)
-        self.table = table_module.Table()
+        self.table = limit_table.LimitTable()
         self._accounts: dict[str, _Account] = {}
-        # When the requests without a reply were sent, by number.
-        self._asked: dict[int, float] = {}
-        self._unanswered_since: float | None = None
-        self._last_asked_at = -1e9
-        self._next_ask = -1e9
-        self._next_retell = -1e9
-        self._is_untold = False
-        self._is_needed = False
-        self._is_homeless = False
-        self._heard_here: dict[str, float] = {}
-        self._gateways = budget.INITIAL_GATEWAY_COUNT
+        # Send times of the requests without a reply, by number.
+        self._request_times: dict[int, float] = {}
+        self._no_reply_since: float | None = None
+        self._last_request_at = -1e9
+        self._next_request_at = -1e9
+        self._next_report_at = -1e9
+        self._has_unreported = False
+        self._has_urgent_demand = False
+        self._lacks_home = False
+        self._received_at: dict[str, float] = {}
+        self._gateway_count = budget.INITIAL_GATEWAY_COUNT
 
     def set_gateway_count(self, count: int) -> None:
-        """Takes how many gateways there are."""
-        self._gateways = max(1, count)
+        """Sets the number of gateways."""
+        self._gateway_count = max(1, count)
 
     @property
     def has_urgent_demand(self) -> bool:
-        """Whether a request waits for a permit that was not asked for yet."""
-        return self._is_needed
+        """Whether a request waits for a permit that was not requested yet."""
+        return self._has_urgent_demand
 
-    # What servers tell.
+    # Limits in responses of servers and updates of coordinators.
 
     def record_response(
         self, replica: model.Replica, limit_per_s: float | None, now: float
     ) -> bool:
-        """Takes what an answer told of a limit; says whether it is news."""
+        """Records a limit in a response; returns whether it is significant."""
         if limit_per_s is None and not len(self.table):
             return False
         limit = messages.RateLimit(
@@ -114,30 +119,30 @@
             age_ms=0,
             named_ms=0,
         )
-        is_news = self.table.take(limit, now)
-        if limit_per_s is not None or is_news:
-            self._heard_here[replica.name] = now
-        self._is_untold = self._is_untold or is_news
-        return is_news
+        is_significant = self.table.merge(limit, now)
+        if limit_per_s is not None or is_significant:
+            self._received_at[replica.name] = now
+        self._has_unreported = self._has_unreported or is_significant
+        return is_significant
 
     def merge_limits(
         self, limits: Iterable[messages.RateLimit], now: float
     ) -> None:
-        """Takes limits that another node tells."""
+        """Merges limits that another node sent."""
         for limit in limits:
-            self.table.take(limit, now)
+            self.table.merge(limit, now)
 
-    # Requests.
+    # Permits for requests.
 
     def get_limit_per_s(
         self, replica: model.Replica, now: float
     ) -> float | None:
-        """Returns the requests a second that a replica takes; None if any."""
+        """Returns the requests a second of a replica; None if unlimited."""
         known = self.table.find(replica.name, replica.born, now)
         return known.per_s if known else None
 
     def may_send(self, replica: model.Replica, now: float) -> bool:
-        """Says whether a replica may be sent a request now."""
+        """Returns whether a replica may be sent a request now."""
         if not len(self.table):
             return True
         known = self.table.find(replica.name, replica.born, now)
@@ -145,120 +150,125 @@
             return True
         account = self._find(replica.name)
         self._drop_expired(account, now)
-        return bool(account.expiries) or self._has_own(account, known, now)
+        return bool(account.expiries) or self._has_local_permit(
+            account, known, now
+        )
 
     def consume_permit(self, replica: model.Replica, now: float) -> None:
-        """Takes that a replica is sent a request."""
+        """Uses up a permit for a request that is sent to a replica."""
         if self.table.find(replica.name, replica.born, now) is None:
             return
         account = self._find(replica.name)
         if account.expiries:
             account.expiries.popleft()
         else:
-            account.alone -= 1.0
+            account.local_tokens -= 1.0
 
     def request_permit(
         self, replica: model.Replica, *, is_needed: bool, now: float
     ) -> None:
-        """Takes that a request could have used a permit for a replica.
+        """Records that a request could have used a permit for a replica.
 
         Args:
             replica: The replica.
-            is_needed: Whether the request has nowhere else to go.
+            is_needed: Whether the request can be sent to no other server.
             now: Present time.
         """
         account = self._find(replica.name)
         if is_needed:
-            # It asks again and again while it waits; that is one request.
+            # This is called repeatedly for a waiting request, which needs one
+            # permit.
             account.wanted = max(1, account.wanted)
             account.is_needed = True
         else:
             account.wanted = min(allocator.MAX_PERMITS, account.wanted + 1)
-        self._is_needed = self._is_needed or is_needed
+        self._has_urgent_demand = self._has_urgent_demand or is_needed
 
     def get_wait_remaining_s(self, replica: model.Replica, now: float) -> float:
         """Returns when there may be a permit, in seconds; 0 if unknown."""
         return max(0.0, self._find(replica.name).denied_until - now)
 
-    # Coordinators.
+    # Messages to and from coordinators.
 
     def collect_messages(
         self, home: str, now: float
     ) -> list[tuple[str, messages.Message]]:
-        """Returns what the home is to be told now.
+        """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's coordinator; empty if it has none.
+            home: The gateway's home coordinator; empty if it has none.
             now: Present time.
         """
         if not len(self.table):
             return []
-        self._is_needed = False
+        self._has_urgent_demand = False
         if not home:
-            self._is_homeless = True
-            self._note_unanswered(now)
+            self._lacks_home = True
+            self._start_reply_timer(now)
             return []
-        if self._is_homeless:
-            # What it saved by itself ends with that: all gateways would send
-            # theirs beside the permits of the coordinators that are back.
-            self._is_homeless = False
-            self._unanswered_since = None
+        if self._lacks_home:
+            # The gateway stops using its local shares: otherwise all gateways
+            # would use theirs in addition to the permits of the coordinators
+            # that are back.
+            self._lacks_home = False
+            self._no_reply_since = None
         sent: list[tuple[str, messages.Message]] = []
-        if self._is_untold or now >= self._next_retell:
-            self._is_untold = False
-            self._next_retell = now + RETELL_PERIOD_S
-            limits = self._describe_heard(now)
+        if self._has_unreported or now >= self._next_report_at:
+            self._has_unreported = False
+            self._next_report_at = now + REPORT_PERIOD_S
+            limits = self._describe_received(now)
             if limits:
-                news = messages.LimitNews(self._node, limits)
-                sent.append((home, news))
-        asks = self._list_asks(now)
+                update = messages.LimitNews(self._node, limits)
+                sent.append((home, update))
+        asks = self._collect_asks(now)
         if asks:
-            if now - self._last_asked_at > ALONE_S:
-                # What got no reply before that says nothing about now: a
-                # coordinator may have been lost just then, and one is back.
-                self._unanswered_since = None
-            self._last_asked_at = now
-            self._note_unanswered(now)
+            if now - self._last_request_at > LOCAL_BUDGET_AFTER_S:
+                # Earlier requests without a reply say nothing about the
+                # present: a coordinator may have been lost just then and been
+                # replaced since.
+                self._no_reply_since = None
+            self._last_request_at = now
+            self._start_reply_timer(now)
             number = next(self._numbers)
-            self._asked[number] = now
+            self._request_times[number] = now
             request = messages.PermitRequest(self._node, number, tuple(asks))
             sent.append((home, request))
         return sent
 
     def handle_reply(self, reply: messages.PermitReply, now: float) -> bool:
-        """Takes permits; says whether there are any, or a wait is over."""
-        # The time counts from the request: a reply that was held up on its
-        # way may not bring permits that were given out long ago.
-        asked_at = self._asked.get(reply.number)
-        if asked_at is None:
+        """Adds the permits of a reply; returns whether it was expected."""
+        # The lease counts from the request: a delayed reply must not bring
+        # permits that were granted long ago.
+        requested_at = self._request_times.get(reply.number)
+        if requested_at is None:
             return False
-        self._unanswered_since = None
+        self._no_reply_since = None
         for permits in reply.permits:
             account = self._find(permits.server)
-            account.asked_at = -1e9
+            account.requested_at = -1e9
             account.denied_until = now + permits.wait_ms / 1000.0
-            account.alone_at = None
-            expires_at = asked_at + permits.lease_ms / 1000.0
+            account.local_updated_at = None
+            expires_at = requested_at + permits.lease_ms / 1000.0
             if expires_at > now:
                 account.expiries.extend([expires_at] * permits.count)
         return True
 
     def prune(self, now: float) -> None:
-        """Drops what is over; call it now and then."""
-        self.table.forget(now)
-        for number, asked_at in list(self._asked.items()):
-            if now - asked_at > allocator.LONGEST_LEASE_S:
-                del self._asked[number]
+        """Drops expired state; to be called periodically."""
+        self.table.prune(now)
+        for number, requested_at in list(self._request_times.items()):
+            if now - requested_at > allocator.MAX_LEASE_S:
+                del self._request_times[number]
         for server in list(self._accounts):
             if self.table.find(server, 0, now) is None:
                 del self._accounts[server]
-        for server, heard_at in list(self._heard_here.items()):
-            if now - heard_at > table_module.MEMORY_S:
-                del self._heard_here[server]
+        for server, received_at in list(self._received_at.items()):
+            if now - received_at > limit_table.RETENTION_S:
+                del self._received_at[server]
 
-    def _note_unanswered(self, now: float) -> None:
-        if self._unanswered_since is None:
-            self._unanswered_since = now
+    def _start_reply_timer(self, now: float) -> None:
+        if self._no_reply_since is None:
+            self._no_reply_since = now
 
     def _find(self, server: str) -> _Account:
         account = self._accounts.get(server)
@@ -271,25 +281,25 @@
             account.expiries.popleft()
             account.returned += 1
 
-    def _describe_heard(self, now: float) -> tuple[messages.RateLimit, ...]:
+    def _describe_received(self, now: float) -> tuple[messages.RateLimit, ...]:
         return self.table.describe(
             [
                 server
-                for server, heard_at in self._heard_here.items()
-                if now - heard_at <= RETELL_PERIOD_S
+                for server, received_at in self._received_at.items()
+                if now - received_at <= REPORT_PERIOD_S
             ],
             now,
         )
 
-    def _list_asks(self, now: float) -> list[messages.Ask]:
-        is_due = now >= self._next_ask
+    def _collect_asks(self, now: float) -> list[messages.Ask]:
+        is_due = now >= self._next_request_at
         asks = []
         for server, account in self._accounts.items():
             if not account.wanted and not (is_due and account.returned):
                 continue
-            is_open = now - account.asked_at < LOST_S
+            is_pending = now - account.requested_at < REPLY_TIMEOUT_S
             is_denied = now < account.denied_until
-            is_urgent = account.is_needed and not is_open and not is_denied
+            is_urgent = account.is_needed and not is_pending and not is_denied
             if not is_urgent and not is_due:
                 continue
             limit = self.table.describe((server,), now)
@@ -304,29 +314,38 @@
                     account.returned,
                 )
             )
-            account.asked_at = now
+            account.requested_at = now
             account.wanted, account.is_needed = 0, False
             account.returned = 0
         if is_due and asks:
-            self._next_ask = now + ASK_PERIOD_S
+            self._next_request_at = now + REQUEST_PERIOD_S
         return asks
 
-    def _has_own(
-        self, account: _Account, known: table_module.Known, now: float
+    def _has_local_permit(
+        self, account: _Account, known: limit_table.KnownLimit, now: float
     ) -> bool:
-        """Says whether the gateway may send one without coordinators."""
-        since = self._unanswered_since
-        is_asking = self._is_homeless or now - self._last_asked_at <= ALONE_S
-        if since is None or now - since < ALONE_S or not is_asking:
-            account.alone_at = None
+        """Returns whether the local share allows sending a request."""
+        since = self._no_reply_since
+        is_requesting = (
+            self._lacks_home
+            or now - self._last_request_at <= LOCAL_BUDGET_AFTER_S
+        )
+        if (
+            since is None
+            or now - since < LOCAL_BUDGET_AFTER_S
+            or not is_requesting
+        ):
+            account.local_updated_at = None
             return False
-        if account.alone_at is None:
-            # Gateways that lose their coordinators do so together. Without a
-            # part of their own to begin with, all would send in one moment.
-            account.alone = self._rng.random()
-            account.alone_at = since + ALONE_S
-        per_s = max(known.per_s, allocator.LEAST_PER_S) / self._gateways
-        passed_s = now - account.alone_at
-        account.alone_at = now
-        account.alone = min(1.0, account.alone + per_s * passed_s)
-        return account.alone >= 1.0
+        if account.local_updated_at is None:
+            # Gateways that lose their coordinators do so at the same time. With
+            # equal initial tokens, all would send at the same moment.
+            account.local_tokens = self._rng.random()
+            account.local_updated_at = since + LOCAL_BUDGET_AFTER_S
+        per_s = max(known.per_s, allocator.MIN_RATE_PER_S) / self._gateway_count
+        elapsed_s = now - account.local_updated_at
+        account.local_updated_at = now
+        account.local_tokens = min(
+            1.0, account.local_tokens + per_s * elapsed_s
+        )
+        return account.local_tokens >= 1.0
--- a/tests/steps/allocator_steps.py
+++ b/tests/steps/allocator_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from support import limitfaults
 
-from hickorylead.ratelimits import allocator, messages, table
+from hickorylead.ratelimits import allocator, limit_table, messages
 
 STEP_S = 0.05
 SERVER = "s1"
@@ -22,7 +22,7 @@
     def ask(self, wanted, now, *, is_needed=False, returned=0):
         """Asks for permits; returns the reply."""
         limit = messages.RateLimit(SERVER, 0, self.known.per_s, True, 0, 0)
-        return self.subject.allot(
+        return self.subject.allocate(
             messages.Ask(limit, wanted, is_needed, returned),
             self.known,
             is_fresh=self.is_fresh,
@@ -44,7 +44,9 @@
 def _(context, limit):
     context.now = 100.0
     context.limit = limit
-    context.known = table.Known(0, limit, True, context.now, context.now)
+    context.known = limit_table.KnownLimit(
+        0, limit, True, context.now, context.now
+    )
     context.giver = Giver(context.known)
     context.given = []
 
--- a/tests/steps/ledger_steps.py
+++ b/tests/steps/ledger_steps.py
@@ -19,7 +19,7 @@
     crash = messages.Crash(
         content, server, born, int(age_s * 1000), has_ended=has_ended
     )
-    return context.ledger.take(crash, context.now)
+    return context.ledger.merge(crash, context.now)
 
 
 @given("a ledger")
@@ -61,13 +61,15 @@
     for _ in range(8):
         context.now += period_s
         for crash in saved:
-            context.ledger.take(crash, context.now)
+            context.ledger.merge(crash, context.now)
 
 
 @when("it is answered whole at some gateway")
 def _(context):
     context.told = context.ledger.list_crashes(context.now)
-    assert context.ledger.clear(messages.Clearance(CONTENT, 0), context.now)
+    assert context.ledger.merge_clearance(
+        messages.Clearance(CONTENT, 0), context.now
+    )
     context.now += 0.1
 
 
@@ -96,10 +98,10 @@
 
 @then("after {seconds:g} seconds nothing of it is kept")
 def _(context, seconds):
-    context.ledger.forget(NOW + seconds)
+    context.ledger.prune(NOW + seconds)
     assert context.ledger.list_crashes(NOW + seconds) == ()
     assert context.ledger.find_blocked() == {}
-    assert context.ledger.check == 0
+    assert context.ledger.digest == 0
 
 
 @then("what was told of it before does not come back")
@@ -109,7 +111,7 @@
         late = messages.Crash(
             crash.content, crash.server, crash.born, 200, has_ended=True
         )
-        assert not context.ledger.take(late, context.now)
+        assert not context.ledger.merge(late, context.now)
 
 
 @then("{count:d} lost runs are kept, in less than {limit:d} MB")
@@ -131,8 +133,8 @@
     context.ledgers = [crash_history.CrashHistory() for _ in range(count)]
     for subject in context.ledgers:
         for crash in rng.sample(told, runs * 2 // 3):
-            subject.take(crash, NOW)
-    context.ledgers[0].clear(messages.Clearance(3, 500), NOW)
+            subject.merge(crash, NOW)
+    context.ledgers[0].merge_clearance(messages.Clearance(3, 500), NOW)
 
 
 @when("they tell each other everything")
@@ -140,14 +142,14 @@
     for subject in context.ledgers:
         for other in context.ledgers:
             for crash in subject.list_crashes(NOW):
-                other.take(crash, NOW)
+                other.merge(crash, NOW)
             for clearance in subject.list_clearances(NOW):
-                other.clear(clearance, NOW)
+                other.merge_clearance(clearance, NOW)
 
 
 @then("their hashes are equal, and so is what they block")
 def _(context):
-    assert len({subject.check for subject in context.ledgers}) == 1
+    assert len({subject.digest for subject in context.ledgers}) == 1
     first, *others = [subject.find_blocked() for subject in context.ledgers]
     assert first
     for other in others:
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -420,7 +420,7 @@
 @then("none is left when no server is in doubt any more")
 def _(context):
     ended_at = 10.0 + PAUSED.retry_after_s
-    context.notices.prune(ended_at + notice_store.DOUBT_S)
+    context.notices.prune(ended_at + notice_store.PROBATION_S)
     assert not len(context.notices)
 
 
--- a/tests/steps/permit_steps.py
+++ b/tests/steps/permit_steps.py
@@ -11,7 +11,7 @@
 from support import forwarder_harness
 
 from hickorylead.forwarding import events, model
-from hickorylead.ratelimits import messages, table
+from hickorylead.ratelimits import limit_table, messages
 
 HOME = guard_steps.HOME
 SERVER = "p0"
@@ -203,9 +203,9 @@
 def _(context):
     now = 100.0
     for order in itertools.permutations([*context.news, context.news[0]]):
-        subject = table.Table()
+        subject = limit_table.LimitTable()
         for news in order:
-            subject.take(news, now)
+            subject.merge(news, now)
         assert subject.find(SERVER, 1, now) is None, order
         found = subject.find(SERVER, 2, now)
         assert found is not None and found.per_s == 7.0, order
