--- a/tests/consensus/whole.feature
+++ b/tests/consensus/whole.feature
@@ -13,7 +13,7 @@
     An operator's tool sends different content with the version number that is
     in force. It is acknowledged, since that version is in force, but ignored.
     Given three coordinators with gateways
-    When version 5 is in force and sent again with a key taken away
+    When version 5 is in force and sent again with a key removed
     Then it is acknowledged
     And the key is still valid at every gateway
 
@@ -23,7 +23,7 @@
     committed. The content acknowledged first must not be replaced.
     Given three coordinators with gateways
     When two operators send different content as version 11 at once
-    Then what the first acknowledgement put in force stays
+    Then the content acknowledged first stays in force
 
   Scenario: A resend to another node is acknowledged after the leader is lost
     The leader acknowledges a change and is killed before the response arrives.
@@ -38,8 +38,8 @@
     which accepts a newer configuration. The old leader must not answer a read
     with the older one that it holds; it must respond that none is known.
     Given three coordinators with gateways
-    When the leader is cut off and version 4 is acknowledged by the others
-    Then a read at the old leader gives no version
+    When the leader is partitioned and version 4 is acknowledged by the others
+    Then a read at the old leader returns no version
 
   Scenario: A leader that was frozen does not answer reads with old versions
     A leader is frozen for 4 seconds. Replies of its voters wait in its buffers,
@@ -47,7 +47,7 @@
     version 8. A read right after the freeze must not get an older version.
     Given three coordinators with gateways
     When the leader is frozen while version 8 is acknowledged, and then read
-    Then the read gives version 8 or none
+    Then the read returns version 8 or none
 
   Scenario: A wiped disk does not revoke an acknowledged version
     Version 9 is acknowledged and synced to at least two disks. The leader
@@ -55,7 +55,7 @@
     that restarts empty must not vote until the others have admitted it.
     Given three coordinators with gateways
     When version 9 is acknowledged, its leader wiped and all others restarted
-    Then a read gives version 9 within 6 seconds
+    Then a read returns version 9 within 6 seconds
     And the wiped coordinator votes again within 10 seconds
 
   Scenario: Coordinators respond soon after all were killed at once
@@ -63,14 +63,14 @@
     that have just started must not wait long for a leader that might exist.
     Given three coordinators with gateways
     When all coordinators are killed and started again
-    Then a read gives version 1 within 0.8 seconds
+    Then a read returns version 1 within 0.8 seconds
 
   Scenario: A replaced coordinator's old voter is removed
     A coordinator's VM is gone for good and an empty one starts at another
     address. If the old one stayed a voter, one more loss would stop changes.
     Given three coordinators with gateways
     When a coordinator is replaced by an empty one with another name
-    Then the voters are the three that live within 20 seconds
+    Then the voters are the three live coordinators within 20 seconds
     And changes are still acknowledged with one of them lost
 
   Scenario: A voter that was removed while it was frozen comes back
@@ -80,7 +80,7 @@
     replies. Without rejoining, its zone's gateways would keep the
     configuration from before the freeze.
     Given six coordinators with 24 gateways
-    When a coordinator is removed while it is frozen, and wakes
+    When a coordinator is removed while it is frozen and then unfrozen
     Then it votes again and holds the newest version within 6 seconds
 
   Scenario: A gateway does not start with an outdated configuration
--- a/tests/fleet/lives.feature
+++ b/tests/fleet/lives.feature
@@ -1,45 +1,46 @@
-Feature: Servers that start again under their id
+Feature: Servers that restart under the same id
 
-  Scenario: A server that starts again is used again
-    A server crashes and starts again under the id that it had. Its heartbeats
-    count from 1 again, below those of its former life. Taken for old, it would
-    never be used; with the former life's models it would be taken for warm.
-    Given a server that told 50 heartbeats and had a model in memory
-    When it starts again and tells its first heartbeat
-    Then the new life is known, free and with nothing in memory
+  Scenario: A server that restarts is used again
+    A server crashes and restarts under the same id. Its heartbeats are numbered
+    from 1 again, below those of its previous incarnation. If they were treated
+    as old, the server would never be used; with the previous incarnation's
+    models it would be treated as warm.
+    Given a server that sent 50 heartbeats and had a model in memory
+    When it restarts and sends its first heartbeat
+    Then the new incarnation is known, free and with nothing in memory
 
-  Scenario Outline: News of the former life that come late change nothing
-    Given a server that told 50 heartbeats and had a model in memory
-    When it starts again and tells its first heartbeat
-    And then <news> of the former life comes late
-    Then the new life is known, free and with nothing in memory
+  Scenario Outline: Late updates of the previous incarnation change nothing
+    Given a server that sent 50 heartbeats and had a model in memory
+    When it restarts and sends its first heartbeat
+    And then <update> of the previous incarnation arrives late
+    Then the new incarnation is known, free and with nothing in memory
 
     Examples:
-      | news                 |
+      | update               |
       | a heartbeat          |
-      | a sign of life       |
+      | an Alive message     |
       | the end              |
-      | the end as a news    |
+      | the end as an update |
 
-  Scenario: The end of the present life is its end
-    Given a server that told 50 heartbeats and had a model in memory
-    When it starts again and tells its first heartbeat
-    And then the end of the new life comes
+  Scenario: The end of the current incarnation removes the server
+    Given a server that sent 50 heartbeats and had a model in memory
+    When it restarts and sends its first heartbeat
+    And then the end of the new incarnation arrives
     Then the server is gone
 
-  Scenario: Orders to a new life count from nothing
-    A planner had ordered two things in the former life. With that number in
-    its orders the new life would refuse each of them.
-    Given a planner that gave two orders to a server
-    When the server starts again
-    Then the next order names no accepted orders
-    And a report of the former life that comes late changes nothing
+  Scenario: Orders to a new incarnation are counted from zero
+    A planner had issued two orders to the previous incarnation. If its orders
+    carried that number, the new incarnation would refuse each of them.
+    Given a planner that issued two orders to a server
+    When the server restarts under the same id
+    Then the next order expects no accepted orders
+    And a late report of the previous incarnation changes nothing
 
-  Scenario Outline: That a server leaves is not taken back by its heartbeats
-    It says so with its answers only.
-    Given a server that told 50 heartbeats and had a model in memory
-    When it is told that it leaves, with heartbeat <number>
-    And its heartbeat 52 says that it is ready
+  Scenario Outline: Heartbeats do not revoke that a server is leaving
+    The server reports that it is leaving only in its responses to requests.
+    Given a server that sent 50 heartbeats and had a model in memory
+    When an update reports that it is leaving, with heartbeat <number>
+    And its heartbeat 52 reports that it is ready
     Then it is known as leaving, with heartbeat 52
 
     Examples:
--- a/tests/fleet/takeover.feature
+++ b/tests/fleet/takeover.feature
@@ -1,26 +1,27 @@
 Feature: Takeover of a zone whose own coordinator still plans it
 
-  Scenario: Taking over from an unheard coordinator leaves its groups intact
-    The other coordinators know the servers as they were before the cut.
+  Scenario: A takeover from a partitioned coordinator leaves its groups intact
+    The other coordinators have the servers' states from before the partition.
     Given three coordinators with 7 servers in each zone
     When messages from a coordinator no longer reach any other coordinator
     And members of two groups in its zone crash one after the other
     Then no server was moved out of a serving group
-    And no other coordinator gave orders in its zone more than 3 s after the cut
+    And no other coordinator sent orders in its zone more than 3 s after the partition
 
   Scenario: A reported number of orders is used only with the reported group
-    With the group known before, a join would break up the new group.
+    Combined with the group known before, it would let a join break up the new
+    group.
     Given a planner that knows 3 free servers
     When the servers report that another planner joined them to a group
     Then the planner joins none of them
     And it joins them once they report that they have left the group
 
   Scenario: A late heartbeat from before a join does not make its servers free
-    It arrives after the join was answered.
+    It arrives after the response to the join.
     Given a planner that knows 3 free servers
     When it joins them and then receives older heartbeats and new reports
     Then the planner joins none of them
 
-  Scenario: Random cuts, freezes and server replacements break up no group
+  Scenario: Random partitions, freezes and server replacements break up no group
     Several coordinators may plan the same zone at once.
     Then takeover schedules 0 to 3 and 28 move no server out of a serving group
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -27,332 +27,350 @@
 from hickorylead.wire import codec
 
 
-def acknowledge(world, node, version, limit_s=6.0):
-    """Sends a configuration again and again, as operators do."""
-    token = world.replace(node, version)
-    state = {"token": token, "at": world.now}
+def replace_until_acknowledged(simulation, node, version, limit_s=6.0):
+    """Resubmits a configuration until it is acknowledged, as operators do."""
+    token = simulation.replace(node, version)
+    state = {"token": token, "at": simulation.now}
 
     def is_done():
-        if world.answers.get(state["token"]) is True:
+        if simulation.outcomes.get(state["token"]) is True:
             return True
-        if world.now - state["at"] > 1.0:
-            state["token"] = world.replace(node, version)
-            state["at"] = world.now
+        if simulation.now - state["at"] > 1.0:
+            state["token"] = simulation.replace(node, version)
+            state["at"] = simulation.now
         return False
 
-    return world.run_until(is_done, limit_s)
+    return simulation.run_until(is_done, limit_s)
 
 
 @given("three coordinators with gateways")
 def _(context):
-    context.world = fleet_simulation.FleetSimulation()
-    context.world.bootstrap()
+    context.simulation = fleet_simulation.FleetSimulation()
+    context.simulation.bootstrap()
 
 
-# Whole configurations.
+# Complete configurations.
 
 
 @when("versions 7 and 9 are sent at once and version 8 later")
 def _(context):
-    world = context.world
+    simulation = context.simulation
     context.tokens = [
-        world.replace(world.coordinator_names[1], 7),
-        world.replace(world.coordinator_names[2], 9),
+        simulation.replace(simulation.coordinator_names[1], 7),
+        simulation.replace(simulation.coordinator_names[2], 9),
     ]
-    world.run(0.3)
-    context.tokens.append(world.replace(world.coordinator_names[0], 8))
-    world.run(1.0)
+    simulation.run(0.3)
+    context.tokens.append(
+        simulation.replace(simulation.coordinator_names[0], 8)
+    )
+    simulation.run(1.0)
 
 
 @then("all three are acknowledged")
 def _(context):
-    answers = [context.world.answers.get(t) for t in context.tokens]
-    assert answers == [True] * 3, answers
+    outcomes = [context.simulation.outcomes.get(t) for t in context.tokens]
+    assert outcomes == [True] * 3, outcomes
 
 
 @then("every node holds version 9 within 1 second")
 def _(context):
-    world = context.world
-    everyone = [*world.coordinators.values(), *world.gateways.values()]
-    world.run_until(
+    simulation = context.simulation
+    everyone = [
+        *simulation.coordinators.values(),
+        *simulation.gateways.values(),
+    ]
+    simulation.run_until(
         lambda: all(node.document.version == 9 for node in everyone), 1.0
     )
 
 
-@when("version 5 is in force and sent again with a key taken away")
+@when("version 5 is in force and sent again with a key removed")
 def _(context):
-    world = context.world
-    acknowledge(world, world.coordinator_names[0], 5)
+    simulation = context.simulation
+    replace_until_acknowledged(simulation, simulation.coordinator_names[0], 5)
     revoked = fleet_simulation.make_document(5, workspaces=())
     content = fleet_simulation.write_content(revoked)
-    world.apply(
-        world.coordinator_names[1], events.ReplaceRequested("again", 5, content)
+    simulation.apply(
+        simulation.coordinator_names[1],
+        events.ReplaceRequested("again", 5, content),
     )
-    world.run(1.0)
+    simulation.run(1.0)
 
 
 @then("it is acknowledged")
 def _(context):
-    assert context.world.answers.get("again") is True
+    assert context.simulation.outcomes.get("again") is True
 
 
 @then("the key is still valid at every gateway")
 def _(context):
-    for gateway in context.world.gateways.values():
+    for gateway in context.simulation.gateways.values():
         assert gateway.document.workspaces[0].keys == ("key",)
 
 
 @when("two operators send different content as version 11 at once")
 def _(context):
-    world = context.world
-    for number, node in enumerate(world.coordinator_names[1:]):
+    simulation = context.simulation
+    for number, node in enumerate(simulation.coordinator_names[1:]):
         key = (f"key{number}",)
         workspace = fleet_simulation.document.Workspace("crew", key, 1)
         found = fleet_simulation.make_document(11, workspaces=(workspace,))
         content = fleet_simulation.write_content(found)
         token = f"race{number}"
-        world.apply(node, events.ReplaceRequested(token, 11, content))
+        simulation.apply(node, events.ReplaceRequested(token, 11, content))
 
 
-@then("what the first acknowledgement put in force stays")
+@then("the content acknowledged first stays in force")
 def _(context):
-    world = context.world
-    world.run_until(lambda: any(map(world.answers.get, ("race0", "race1"))))
-    leader = world.coordinators[world.find_leader()]
+    simulation = context.simulation
+    simulation.run_until(
+        lambda: any(map(simulation.outcomes.get, ("race0", "race1")))
+    )
+    leader = simulation.coordinators[simulation.find_leader()]
     first = leader.voter.configuration.content
-    world.run(2.0)
-    assert world.answers["race0"] and world.answers["race1"]
-    for role in world.coordinators.values():
+    simulation.run(2.0)
+    assert simulation.outcomes["race0"] and simulation.outcomes["race1"]
+    for role in simulation.coordinators.values():
         assert role.voter.configuration.content == first
-    for gateway in world.gateways.values():
+    for gateway in simulation.gateways.values():
         found = fleet_simulation.read_content(first).unwrap()
         assert gateway.document == found
 
 
 @when("version 6 is acknowledged and its leader is killed")
 def _(context):
-    world = context.world
-    acknowledge(world, world.coordinator_names[0], 6)
-    world.kill(world.find_leader())
+    simulation = context.simulation
+    replace_until_acknowledged(simulation, simulation.coordinator_names[0], 6)
+    simulation.kill(simulation.find_leader())
 
 
 @then("another coordinator acknowledges version 6 within 3 seconds")
 def _(context):
-    world = context.world
-    other = next(n for n in world.coordinator_names if n in world.coordinators)
-    acknowledge(world, other, 6, 3.0)
+    simulation = context.simulation
+    other = next(
+        n for n in simulation.coordinator_names if n in simulation.coordinators
+    )
+    replace_until_acknowledged(simulation, other, 6, 3.0)
 
 
-@when("the leader is cut off and version 4 is acknowledged by the others")
+@when("the leader is partitioned and version 4 is acknowledged by the others")
 def _(context):
-    world = context.world
-    context.old = world.find_leader()
-    others = [n for n in world.coordinator_names if n != context.old]
+    simulation = context.simulation
+    context.old_leader = simulation.find_leader()
+    others = [
+        n for n in simulation.coordinator_names if n != context.old_leader
+    ]
     for other in others:
-        world.partition(context.old, other)
-    acknowledge(world, others[0], 4)
+        simulation.partition(context.old_leader, other)
+    replace_until_acknowledged(simulation, others[0], 4)
 
 
-@then("a read at the old leader gives no version")
+@then("a read at the old leader returns no version")
 def _(context):
-    world = context.world
-    token = world.read(context.old)
-    world.run_until(lambda: token in world.answers, 2.0)
-    assert world.answers[token] is None, world.answers[token]
+    simulation = context.simulation
+    token = simulation.read(context.old_leader)
+    simulation.run_until(lambda: token in simulation.outcomes, 2.0)
+    assert simulation.outcomes[token] is None, simulation.outcomes[token]
 
 
 @when("the leader is frozen while version 8 is acknowledged, and then read")
 def _(context):
-    world = context.world
-    old = world.find_leader()
-    # It has just asked its voters something when it stands still.
-    world.read(old)
-    world.frozen.add(old)
-    others = [n for n in world.coordinator_names if n != old]
-    acknowledge(world, others[0], 8)
-    world.run(2.0)
-    # The answers of its voters were first in its buffers; the read comes
-    # right behind them, before the news that another one leads.
-    waiting = world.buffers[old]
+    simulation = context.simulation
+    old = simulation.find_leader()
+    # It has just sent messages to its voters when it is frozen.
+    simulation.read(old)
+    simulation.frozen.add(old)
+    others = [n for n in simulation.coordinator_names if n != old]
+    replace_until_acknowledged(simulation, others[0], 8)
+    simulation.run(2.0)
+    # The replies of its voters are first in its buffers. The read follows them
+    # directly, before the messages that show that another coordinator leads.
+    buffered = simulation.buffers[old]
     replies = [
         event
-        for event in waiting
+        for event in buffered
         if isinstance(event, fleet_simulation.interface.MessageArrived)
         and isinstance(event.message, consensus_messages.AppendReply)
     ]
     assert replies
-    world.buffers[old] = [e for e in waiting if e not in replies]
-    world.frozen.discard(old)
+    simulation.buffers[old] = [e for e in buffered if e not in replies]
+    simulation.frozen.discard(old)
     for event in replies:
-        world.apply(old, event)
-    context.token = world.read(old)
-    world.unfreeze(old)
-    world.run_until(lambda: context.token in world.answers, 2.0)
+        simulation.apply(old, event)
+    context.token = simulation.read(old)
+    simulation.unfreeze(old)
+    simulation.run_until(lambda: context.token in simulation.outcomes, 2.0)
 
 
-@then("the read gives version 8 or none")
+@then("the read returns version 8 or none")
 def _(context):
-    assert context.world.answers[context.token] in (8, None), (
-        context.world.answers[context.token]
+    assert context.simulation.outcomes[context.token] in (8, None), (
+        context.simulation.outcomes[context.token]
     )
 
 
 @when("version 9 is acknowledged, its leader wiped and all others restarted")
 def _(context):
-    world = context.world
-    acknowledge(world, world.coordinator_names[0], 9)
-    context.wiped = world.find_leader()
-    for node in world.coordinator_names:
-        world.kill(node)
-    world.wipe(context.wiped)
-    for node in world.coordinator_names:
-        world.start(node)
+    simulation = context.simulation
+    replace_until_acknowledged(simulation, simulation.coordinator_names[0], 9)
+    context.wiped_node = simulation.find_leader()
+    for node in simulation.coordinator_names:
+        simulation.kill(node)
+    simulation.wipe(context.wiped_node)
+    for node in simulation.coordinator_names:
+        simulation.start(node)
 
 
 @when("all coordinators are killed and started again")
 def _(context):
-    world = context.world
-    context.wiped = ""
-    for node in world.coordinator_names:
-        world.kill(node)
-    for node in world.coordinator_names:
-        world.start(node)
+    simulation = context.simulation
+    context.wiped_node = ""
+    for node in simulation.coordinator_names:
+        simulation.kill(node)
+    for node in simulation.coordinator_names:
+        simulation.start(node)
 
 
-@then("a read gives version {version:d} within {limit:g} seconds")
+@then("a read returns version {version:d} within {limit:g} seconds")
 def _(context, version, limit):
-    world = context.world
+    simulation = context.simulation
     tokens = []
 
     def is_read():
         tokens.extend(
-            world.read(n) for n in world.coordinator_names if n != context.wiped
+            simulation.read(n)
+            for n in simulation.coordinator_names
+            if n != context.wiped_node
         )
-        found = [world.answers.get(t) for t in tokens]
+        found = [simulation.outcomes.get(t) for t in tokens]
         assert set(found) <= {version, None}, found
         return version in found
 
-    world.run_until(is_read, limit)
+    simulation.run_until(is_read, limit)
 
 
 @then("the wiped coordinator votes again within 10 seconds")
 def _(context):
-    world = context.world
-    role = world.coordinators[context.wiped]
-    world.run_until(lambda: role.voter.member in role.voter.voters, 10.0)
+    simulation = context.simulation
+    role = simulation.coordinators[context.wiped_node]
+    simulation.run_until(lambda: role.voter.member in role.voter.voters, 10.0)
 
 
 @when("a coordinator is replaced by an empty one with another name")
 def _(context):
-    world = context.world
-    gone = next(n for n in world.coordinator_names if n != world.find_leader())
-    world.kill(gone)
+    simulation = context.simulation
+    gone = next(
+        n for n in simulation.coordinator_names if n != simulation.find_leader()
+    )
+    simulation.kill(gone)
     zone = nodes.get_zone(gone)
     new = nodes.make_node_name(zone, "core-new", nodes.COORDINATOR)
-    world.disks[new] = fleet_simulation.Disk("new")
-    world.start(new)
-    context.expected = {n for n in (*world.coordinator_names, new) if n != gone}
+    simulation.disks[new] = fleet_simulation.Disk("new")
+    simulation.start(new)
+    context.expected = {
+        n for n in (*simulation.coordinator_names, new) if n != gone
+    }
 
 
-@then("the voters are the three that live within 20 seconds")
+@then("the voters are the three live coordinators within 20 seconds")
 def _(context):
-    world = context.world
+    simulation = context.simulation
 
     def has_replaced():
-        leader = world.find_leader()
+        leader = simulation.find_leader()
         if not leader:
             return False
-        voters = world.coordinators[leader].voter.voters
+        voters = simulation.coordinators[leader].voter.voters
         found = {voter.partition("#")[0] for voter in voters}
         return found == context.expected
 
-    world.run_until(has_replaced, 20.0)
+    simulation.run_until(has_replaced, 20.0)
 
 
 @then("changes are still acknowledged with one of them lost")
 def _(context):
-    world = context.world
+    simulation = context.simulation
     lost, other, *_ = sorted(context.expected)
-    world.kill(lost)
-    acknowledge(world, other, 30, 6.0)
+    simulation.kill(lost)
+    replace_until_acknowledged(simulation, other, 30, 6.0)
 
 
 @when("a gateway starts while its zone's coordinator is behind")
 def _(context):
-    world = context.world
-    behind = world.coordinator_names[0]
+    simulation = context.simulation
+    behind = simulation.coordinator_names[0]
     zone = nodes.get_zone(behind)
-    for other in world.coordinator_names[1:]:
-        world.partition(behind, other)
-    world.run(3.0)
-    acknowledge(world, world.coordinator_names[1], 12)
+    for other in simulation.coordinator_names[1:]:
+        simulation.partition(behind, other)
+    simulation.run(3.0)
+    replace_until_acknowledged(simulation, simulation.coordinator_names[1], 12)
     node = nodes.make_node_name(zone, "front9", nodes.GATEWAY)
-    for other in world.coordinator_names[1:]:
-        world.partition(node, other)
-    world.start_gateway(node)
-    # What is near answers first, the others half a second later.
-    world.run(0.5)
-    for other in world.coordinator_names[1:]:
-        world.partitions.discard(frozenset((node, other)))
-    context.gateway = world.gateways[node]
+    for other in simulation.coordinator_names[1:]:
+        simulation.partition(node, other)
+    simulation.start_gateway(node)
+    # The coordinator of its zone replies first, the others 0.5 s later.
+    simulation.run(0.5)
+    for other in simulation.coordinator_names[1:]:
+        simulation.partitions.discard(frozenset((node, other)))
+    context.gateway = simulation.gateways[node]
 
 
 @then("the first version it holds is the newest")
 def _(context):
-    world, gateway = context.world, context.gateway
-    world.run_until(lambda: gateway.document is not None, 3.0)
+    simulation, gateway = context.simulation, context.gateway
+    simulation.run_until(lambda: gateway.document is not None, 3.0)
     assert gateway.document.version == 12, gateway.document.version
 
 
 # Groups.
 
 
-def pick_member(world, *, rank=1, zone="z1"):
+def pick_member(simulation, *, rank=1, zone="z1"):
     """Returns a member of a serving group of a zone."""
-    head = next(s for s in world.list_open() if s.zone == zone)
-    return world.servers[head.members[rank]], head
+    head = next(s for s in simulation.list_open() if s.zone == zone)
+    return simulation.servers[head.members[rank]], head
 
 
-@when("a member of a group dies")
+@when("a member of a group crashes")
 def _(context):
-    world = context.world
-    context.before = len(world.list_open())
-    member, _ = pick_member(world)
-    world.crash(member.name)
-    assert len(world.list_open()) < context.before
+    simulation = context.simulation
+    context.before = len(simulation.list_open())
+    member, _ = pick_member(simulation)
+    simulation.crash(member.name)
+    assert len(simulation.list_open()) < context.before
 
 
-@when("a member of a group dies and a gateway tells of the stall at once")
+@when("a member of a group crashes and a gateway reports the stall at once")
 def _(context):
-    world = context.world
-    context.before = len(world.list_open())
-    member, head = pick_member(world)
-    world.crash(member.name)
-    world.run(0.2)
-    gateway = next(iter(world.gateways))
-    for node in world.coordinator_names:
+    simulation = context.simulation
+    context.before = len(simulation.list_open())
+    member, head = pick_member(simulation)
+    simulation.crash(member.name)
+    simulation.run(0.2)
+    gateway = next(iter(simulation.gateways))
+    for node in simulation.coordinator_names:
         hello = messages.GatewayHello(
             gateway, 1, 1, 0, is_home=False, stalled=(head.name,)
         )
-        world.apply(
+        simulation.apply(
             node, fleet_simulation.interface.MessageArrived(gateway, hello, 0.0)
         )
 
 
-@when("a member of a group dies and its head names it in a refusal")
+@when("a member of a group crashes and its head names it in a refusal")
 def _(context):
-    world = context.world
-    context.before = len(world.list_open())
-    member, head = pick_member(world)
-    world.crash(member.name)
-    world.run(0.2)
-    node = min(world.gateways)
+    simulation = context.simulation
+    context.before = len(simulation.list_open())
+    member, head = pick_member(simulation)
+    simulation.crash(member.name)
+    simulation.run(0.2)
+    node = min(simulation.gateways)
     refusal = model.ResponseHead(503, not_run=True, faulty_server=member.name)
-    play = traffic_simulation.TrafficSimulation(world)
+    traffic = traffic_simulation.TrafficSimulation(simulation)
     for number in range(20):
-        submission = play.submit(node, b"%d" % number)
+        submission = traffic.submit(node, b"%d" % number)
         if submission.sent and submission.sent[-1][1] == head.name:
-            play.refuse_submission(submission, refusal)
+            traffic.refuse_submission(submission, refusal)
             break
     else:
         raise AssertionError("no request reached the head")
@@ -360,93 +378,95 @@
 
 @then("as many groups serve as before within {limit:g} seconds")
 def _(context, limit):
-    world = context.world
-    world.run_until(lambda: len(world.list_open()) >= context.before, limit)
+    simulation = context.simulation
+    simulation.run_until(
+        lambda: len(simulation.list_open()) >= context.before, limit
+    )
 
 
-@when("a head is cut off from the coordinators while its streams go on")
+@when("a head is partitioned from the coordinators while its streams progress")
 def _(context):
-    world = context.world
-    _, context.head = pick_member(world)
-    for node in world.coordinator_names:
-        world.partition(node, context.head.name)
-    gateway = next(iter(world.gateways))
-    flow = messages.HeadFlow(context.head.name, 20)
+    simulation = context.simulation
+    _, context.head = pick_member(simulation)
+    for node in simulation.coordinator_names:
+        simulation.partition(node, context.head.name)
+    gateway = next(iter(simulation.gateways))
+    progress = messages.HeadFlow(context.head.name, 20)
     for _ in range(50):
-        for node in world.coordinator_names:
-            hello = messages.GatewayHello(gateway, 1, 1, 0, flowing=(flow,))
-            world.apply(
+        for node in simulation.coordinator_names:
+            hello = messages.GatewayHello(gateway, 1, 1, 0, flowing=(progress,))
+            simulation.apply(
                 node,
                 fleet_simulation.interface.MessageArrived(gateway, hello, 0.0),
             )
-        world.run(0.1)
+        simulation.run(0.1)
 
 
 @then("its group still serves after 5 seconds")
 def _(context):
     assert context.head.member.state == instances.GROUP_OPEN
-    assert context.head in context.world.list_open()
+    assert context.head in context.simulation.list_open()
 
 
-@when("a member of a group says that it drains")
+@when("a member of a group reports that it is draining")
 def _(context):
-    world = context.world
-    member, context.head = pick_member(world)
+    simulation = context.simulation
+    member, context.head = pick_member(simulation)
     member.phase = instances.PHASE_DRAINING
-    world.send_heartbeat(member)
+    simulation.send_heartbeat(member)
 
 
 @then("no gateway offers its group after {limit:g} seconds")
 def _(context, limit):
-    world = context.world
-    world.run(limit)
-    for gateway in world.gateways.values():
+    simulation = context.simulation
+    simulation.run(limit)
+    for gateway in simulation.gateways.values():
         assert gateway._view.find(context.head.name) is None
 
 
-@when("the coordinator of a zone is killed and then a member there dies")
+@when("the coordinator of a zone is killed and then a member there crashes")
 def _(context):
-    world = context.world
-    context.before = len(world.list_open())
-    world.kill(world.coordinator_names[0])
-    world.run(2.0)
-    member, _ = pick_member(world, zone="z1")
-    world.crash(member.name)
+    simulation = context.simulation
+    context.before = len(simulation.list_open())
+    simulation.kill(simulation.coordinator_names[0])
+    simulation.run(2.0)
+    member, _ = pick_member(simulation, zone="z1")
+    simulation.crash(member.name)
 
 
-@when("the coordinator of a zone restarts and then a member there dies")
+@when("the coordinator of a zone restarts and then a member there crashes")
 def _(context):
-    world = context.world
-    context.before = len(world.list_open())
-    world.kill(world.coordinator_names[0])
-    world.start(world.coordinator_names[0])
-    world.run(4.0)
-    member, _ = pick_member(world, zone="z1")
-    world.crash(member.name)
+    simulation = context.simulation
+    context.before = len(simulation.list_open())
+    simulation.kill(simulation.coordinator_names[0])
+    simulation.start(simulation.coordinator_names[0])
+    simulation.run(4.0)
+    member, _ = pick_member(simulation, zone="z1")
+    simulation.crash(member.name)
 
 
-@when("all coordinators and gateways lose power and are back")
+@when("all coordinators and gateways lose power and restart")
 def _(context):
-    world = context.world
-    context.heads = {s.name for s in world.list_open()}
-    gateways = list(world.gateways)
-    for node in (*world.coordinator_names, *gateways):
-        world.kill(node)
-    world.run(1.5)
-    for node in world.coordinator_names:
-        world.start(node)
+    simulation = context.simulation
+    context.heads = {s.name for s in simulation.list_open()}
+    gateways = list(simulation.gateways)
+    for node in (*simulation.coordinator_names, *gateways):
+        simulation.kill(node)
+    simulation.run(1.5)
+    for node in simulation.coordinator_names:
+        simulation.start(node)
     for node in gateways:
-        world.start_gateway(node)
+        simulation.start_gateway(node)
 
 
 @then("every gateway offers all replicas within {limit:g} seconds")
 def _(context, limit):
-    world = context.world
-    world.run_until(
+    simulation = context.simulation
+    simulation.run_until(
         lambda: all(
             gateway.is_ready()
             and all(gateway._view.find(name) for name in context.heads)
-            for gateway in world.gateways.values()
+            for gateway in simulation.gateways.values()
         ),
         limit,
     )
@@ -454,66 +474,70 @@
 
 @then("every group serves all the time for 5 seconds")
 def _(context):
-    world = context.world
-    before = {s.name: s.member.group for s in world.list_open()}
+    simulation = context.simulation
+    before = {s.name: s.member.group for s in simulation.list_open()}
     for _ in range(100):
-        world.run(0.05)
-        now = {s.name: s.member.group for s in world.list_open()}
+        simulation.run(0.05)
+        now = {s.name: s.member.group for s in simulation.list_open()}
         assert before.items() <= now.items(), (before, now)
     assert not any(
         isinstance(note, notes.Note)
         and note.event == "order_given"
         and note.fields["order"] == "join"
         and not note.fields["group"].startswith(group_builder.WARM_UP_PREFIX)
-        for at, _, note in world.notes
-        if at > world.now - 5.0
+        for at, _, note in simulation.notes
+        if at > simulation.now - 5.0
     )
 
 
-@when("a server's address is taken over and its old heartbeat comes late")
+@when("a server's address is taken over and its old heartbeat arrives late")
 def _(context):
-    world = context.world
-    old, _ = pick_member(world)
-    late = attrs.evolve(old.make_heartbeat(), sequence=old.sequence + 1)
-    world.crash(old.name)
-    world.run(4.0)
-    new = world.add_server("newcomer", "z2")
-    new.address = old.address
-    world.run(1.0)
-    world.apply(world.coordinator_names[2], events.HeartbeatArrived(late))
-    world.run(1.0)
-    context.old = old.name
+    simulation = context.simulation
+    previous, _ = pick_member(simulation)
+    late = attrs.evolve(
+        previous.make_heartbeat(), sequence=previous.sequence + 1
+    )
+    simulation.crash(previous.name)
+    simulation.run(4.0)
+    new = simulation.add_server("newcomer", "z2")
+    new.address = previous.address
+    simulation.run(1.0)
+    simulation.apply(
+        simulation.coordinator_names[2], events.HeartbeatArrived(late)
+    )
+    simulation.run(1.0)
+    context.previous_name = previous.name
 
 
-@then("the old life is gone at every gateway")
+@then("the old incarnation is gone at every gateway")
 def _(context):
-    for gateway in context.world.gateways.values():
-        found = gateway._registry.instances.get(context.old)
+    for gateway in context.simulation.gateways.values():
+        found = gateway._registry.instances.get(context.previous_name)
         assert found is None or found.phase == instances.PHASE_GONE, found
 
 
-# The planner alone.
+# The planner without the other parts of a coordinator.
 
 
-@then("{count:d} random schedules of two planners break no promise")
+@then("{count:d} random schedules of two planners violate no invariant")
 def _(context, count):
     opened = planning.run_schedules(0, count)
     assert opened > count / 2, opened
 
 
-@then("{count:d} random schedules with rebirths break no promise")
+@then("{count:d} random schedules with server restarts violate no invariant")
 def _(context, count):
-    opened = planning.run_schedules(0, count, rebirths=True)
+    opened = planning.run_schedules(0, count, server_restarts=True)
     assert opened > count, opened
 
 
 @then("the schedule {seed:d} with rebirths breaks no promise")
 def _(_, seed):
-    planning.run_schedules(seed, 1, rebirths=True)
+    planning.run_schedules(seed, 1, server_restarts=True)
 
 
-def shows_broken_promise():
-    """Says whether the first schedules break a promise."""
+def violates_invariant():
+    """Returns whether one of the first schedules violates an invariant."""
     try:
         planning.run_schedules(0, 120)
     except planning.InvariantViolation:
@@ -521,26 +545,28 @@
     return False
 
 
-@then("the schedules show a broken promise if joins name no number")
+@then("the schedules violate an invariant if joins carry no number")
 def _(context):
-    close = order_tracker.OrderTracker.end_round
+    end_round = order_tracker.OrderTracker.end_round
 
-    def forget(self):
+    def end_round_without_counts(self):
         return [
             attrs.evolve(effect, expected=None)
             if isinstance(effect, orders.SendOrder)
             else effect
-            for effect in close(self)
+            for effect in end_round(self)
         ]
 
-    with mock.patch.object(order_tracker.OrderTracker, "end_round", forget):
-        assert shows_broken_promise()
+    with mock.patch.object(
+        order_tracker.OrderTracker, "end_round", end_round_without_counts
+    ):
+        assert violates_invariant()
 
 
-@then("the schedules show a broken promise if heads open unchecked")
+@then("the schedules violate an invariant if heads open unchecked")
 def _(context):
     with mock.patch.object(groups, "is_complete", lambda *_: True):
-        assert shows_broken_promise()
+        assert violates_invariant()
 
 
 @given("a domain of {alive:d} servers in which {scarce} is scarce")
@@ -597,7 +623,8 @@
         make("e0", "", ()),
         make("e1", "", ()),
     ]
-    # Elsewhere the large model has all that it needs, the small one nothing.
+    # In another domain the large model has all servers that it needs, the small
+    # one has none.
     for number in range(8):
         member = instances.Membership("g1", 1, number % 4, "open")
         context.present.append(
@@ -619,7 +646,7 @@
     subject = planner.Planner(
         number=1, policy=group_builder.StandbyPolicy(), start_id="a1"
     )
-    given = subject.plan(
+    effects = subject.plan(
         present=context.present,
         services=[context.service],
         domains=frozenset({"d1"}),
@@ -630,15 +657,15 @@
     )
     joins = [
         g.name
-        for g in given
+        for g in effects
         if isinstance(g, orders.SendOrder) and isinstance(g.order, orders.Join)
     ]
-    assert sorted(joins) == ["l0", "l1", "l2", "s0"], given
+    assert sorted(joins) == ["l0", "l1", "l2", "s0"], effects
 
 
 def plan_once(subject, present, service):
-    """Returns the joins of one round."""
-    given = subject.plan(
+    """Returns the joins of one planning round."""
+    effects = subject.plan(
         present=present,
         services=[service],
         domains=frozenset({"d1"}),
@@ -649,7 +676,7 @@
     )
     return [
         g.order
-        for g in given
+        for g in effects
         if isinstance(g, orders.SendOrder) and isinstance(g.order, orders.Join)
     ]
 
@@ -660,16 +687,21 @@
         "model", engine=fleet_simulation.ENGINE
     )
     context.joins = []
-    for life in ("a1", "b2"):
-        # All servers are other lives by the time of the second round.
+    for start_id in ("a1", "b2"):
+        # All servers have been replaced by the second round.
         present = [
             instances.Instance(
-                f"{life}{n}", "model", f"{life}{n}:1", "z1", "d1", sequence=1
+                f"{start_id}{n}",
+                "model",
+                f"{start_id}{n}:1",
+                "z1",
+                "d1",
+                sequence=1,
             )
             for n in range(2)
         ]
         subject = planner.Planner(
-            number=5, policy=group_builder.StandbyPolicy(), start_id=life
+            number=5, policy=group_builder.StandbyPolicy(), start_id=start_id
         )
         context.joins.append(plan_once(subject, present, service)[0])
 
@@ -681,11 +713,11 @@
     assert second.epoch >= first.epoch, (first, second)
 
 
-@when("a sign of life overtakes the change of a server's state")
+@when("an Alive message overtakes the update of a server's state")
 def _(context):
-    world = context.world
-    member, _ = pick_member(world)
-    role = world.coordinators[world.coordinator_names[1]]
+    simulation = context.simulation
+    member, _ = pick_member(simulation)
+    role = simulation.coordinators[simulation.coordinator_names[1]]
     known = role.registry.instances[member.name]
     changed = attrs.evolve(
         known,
@@ -693,23 +725,23 @@
         member=instances.Membership(),
     )
     alive = messages.Alive(
-        world.coordinator_names[0],
+        simulation.coordinator_names[0],
         (member.name,),
         (known.sequence + 2,),
         (known.sequence + 1,),
     )
-    news = messages.InstanceNews(world.coordinator_names[0], (changed,))
-    for message in (alive, news):
-        world.apply(
-            world.coordinator_names[1],
+    update = messages.InstanceNews(simulation.coordinator_names[0], (changed,))
+    for message in (alive, update):
+        simulation.apply(
+            simulation.coordinator_names[1],
             fleet_simulation.interface.MessageArrived(
-                world.coordinator_names[0], message, 0.0
+                simulation.coordinator_names[0], message, 0.0
             ),
         )
     context.found = role.registry.instances[member.name]
 
 
-@then("the change is taken")
+@then("the change is applied")
 def _(context):
     assert not context.found.has_group, context.found
 
@@ -729,7 +761,7 @@
     started = []
     now = 10.0
     while now < 15.0:
-        given = subject.plan(
+        effects = subject.plan(
             present=empty,
             services=[service],
             domains=frozenset({"d1"}),
@@ -740,7 +772,7 @@
         )
         started += [
             g
-            for g in given
+            for g in effects
             if isinstance(g, orders.SendOrder)
             and isinstance(g.order, orders.Join | orders.Stage)
         ]
@@ -749,44 +781,44 @@
     assert 0 < len(names) <= 6, names
 
 
-# Gateways and their homes.
+# Gateways and their home coordinators.
 
 
-@when("the home of a gateway is killed and then a member elsewhere drains")
+@when("a gateway's home coordinator is killed, then a member elsewhere drains")
 def _(context):
-    world = context.world
-    world.kill(world.coordinator_names[0])
-    member, context.head = pick_member(world, zone="z2")
+    simulation = context.simulation
+    simulation.kill(simulation.coordinator_names[0])
+    member, context.head = pick_member(simulation, zone="z2")
     context.epoch = context.head.member.epoch
     member.phase = instances.PHASE_DRAINING
-    world.send_heartbeat(member)
+    simulation.send_heartbeat(member)
 
 
 @then("no gateway offers the group with it after {limit:g} seconds")
 def _(context, limit):
-    world = context.world
-    world.run(limit)
-    for gateway in world.gateways.values():
+    simulation = context.simulation
+    simulation.run(limit)
+    for gateway in simulation.gateways.values():
         offered = gateway._view.find(context.head.name)
         # Its head may serve in a new group by then.
         assert offered is None or offered.epoch != context.epoch, offered
 
 
-@when("a coordinator is cut off from the others and they acknowledge version 4")
+@when("a coordinator is partitioned and the others acknowledge version 4")
 def _(context):
-    world = context.world
-    for other in world.coordinator_names[1:]:
-        world.partition(world.coordinator_names[0], other)
-    acknowledge(world, world.coordinator_names[1], 4)
+    simulation = context.simulation
+    for other in simulation.coordinator_names[1:]:
+        simulation.partition(simulation.coordinator_names[0], other)
+    replace_until_acknowledged(simulation, simulation.coordinator_names[1], 4)
 
 
 @then("every gateway holds version {version:d} within {limit:g} seconds")
 def _(context, version, limit):
-    world = context.world
-    world.run_until(
+    simulation = context.simulation
+    simulation.run_until(
         lambda: all(
             gateway.document.version == version
-            for gateway in world.gateways.values()
+            for gateway in simulation.gateways.values()
         ),
         limit,
     )
@@ -794,58 +826,60 @@
 
 @given("six coordinators with 24 gateways")
 def _(context):
-    context.world = fleet_simulation.FleetSimulation(
+    context.simulation = fleet_simulation.FleetSimulation(
         servers_per_zone=16,
         domain_size=8,
         gateways_per_zone=8,
         coordinators_per_zone=2,
     )
-    context.world.bootstrap()
-    context.world.run(10.0)
+    context.simulation.bootstrap()
+    context.simulation.run(10.0)
 
 
-class Traffic:
-    """Counts what gateways send and get, and how often each is told."""
+class TrafficCounter:
+    """Counts bytes of gateways and how often each of them gets an update."""
 
     def __init__(self, gateways):
         self.gateways = gateways
-        self.sent_bytes = collections.Counter()
-        self.told = collections.Counter()
+        self.transferred_bytes = collections.Counter()
+        self.update_counts = collections.Counter()
 
-    def watch(self, sender, target, message):
-        """Counts one message."""
+    def record(self, sender, target, message):
+        """Records one message."""
         envelope = codec.Envelope(sender, "10.0.0.10:7000", message)
         size = len(codec.encode_envelope(envelope))
         for node in (sender, target):
             if node in self.gateways:
-                self.sent_bytes[node] += size
+                self.transferred_bytes[node] += size
         if isinstance(message, messages.InstanceNews):
             for item in message.news:
-                self.told[target, item.name, item.sequence, item.silent] += 1
+                self.update_counts[
+                    target, item.name, item.sequence, item.silent
+                ] += 1
 
 
 @when("10 seconds pass, the last 5 with a lost member each")
 def _(context):
-    world = context.world
+    simulation = context.simulation
     context.quiet, context.busy = (
-        Traffic(world.gateways),
-        Traffic(world.gateways),
+        TrafficCounter(simulation.gateways),
+        TrafficCounter(simulation.gateways),
     )
-    world.on_send = context.quiet.watch
-    world.run(5.0)
-    world.on_send = context.busy.watch
+    simulation.on_send = context.quiet.record
+    simulation.run(5.0)
+    simulation.on_send = context.busy.record
     for _ in range(5):
-        world.crash(world.list_open()[0].name)
-        world.run(1.0)
+        simulation.crash(simulation.list_open()[0].name)
+        simulation.run(1.0)
 
 
 def check_traffic(traffic, limit_kb):
-    most = max(traffic.sent_bytes.values()) / 5.0 / 1000.0
-    assert most < limit_kb, most
+    rate_kb = max(traffic.transferred_bytes.values()) / 5.0 / 1000.0
+    assert rate_kb < limit_kb, rate_kb
 
 
 @then(
-    "a gateway sends and gets less than {limit:g} KB a second in the quiet ones"
+    "a gateway transfers less than {limit:g} KB a second in the quiet seconds"
 )
 def _(context, limit):
     check_traffic(context.quiet, limit)
@@ -858,115 +892,123 @@
 
 @then("each change reaches a gateway at most once")
 def _(context):
-    told = {k: n for k, n in context.busy.told.items() if k[0].endswith("way")}
-    assert told
-    assert max(told.values()) == 1, max(told.items(), key=lambda kv: kv[1])
+    counts = {
+        k: n
+        for k, n in context.busy.update_counts.items()
+        if k[0].endswith("way")
+    }
+    assert counts
+    assert max(counts.values()) == 1, max(counts.items(), key=lambda kv: kv[1])
 
 
 @when("a gateway has requests")
 def _(context):
-    world = context.world
-    name = next(iter(world.gateways))
-    head = world.list_open()[0].name
+    simulation = context.simulation
+    name = next(iter(simulation.gateways))
+    head = simulation.list_open()[0].name
     loads = (messages.HeadLoad(head, 3),)
     hello = messages.GatewayHello(name, 1, 1, 0, is_home=True, loads=loads)
-    world.apply(
-        world.coordinator_names[0],
+    simulation.apply(
+        simulation.coordinator_names[0],
         fleet_simulation.interface.MessageArrived(name, hello, 0.0),
     )
 
 
-@then("all six coordinators count loads within {limit:g} second, a sixth each")
+@then(
+    "all six coordinators limit loads within {limit:g} second, to a sixth each"
+)
 def _(context, limit):
-    world = context.world
-    supervisors = [c._supervisor for c in world.coordinators.values()]
+    simulation = context.simulation
+    supervisors = [c._supervisor for c in simulation.coordinators.values()]
     assert len(supervisors) == 6
-    world.run_until(lambda: all(s.has_traffic for s in supervisors), limit)
+    simulation.run_until(lambda: all(s.has_traffic for s in supervisors), limit)
     assert {s._count_planners() for s in supervisors} == {6}
 
 
-@then("the schedules 7, 621, 986 and 35024 break no promise")
+@then("the schedules 7, 621, 986 and 35024 violate no invariant")
 def _(_):
     for seed in (7, 621, 986, 35024):
         planning.run_schedules(seed, 1)
 
 
-@when("a coordinator is removed while it is frozen, and wakes")
+@when("a coordinator is removed while it is frozen and then unfrozen")
 def _(context):
-    world = context.world
-    leader = world.find_leader()
+    simulation = context.simulation
+    leader = simulation.find_leader()
     zone = nodes.get_zone(leader)
-    context.victim = next(
-        n for n in world.coordinator_names if nodes.get_zone(n) != zone
+    context.removed_node = next(
+        n for n in simulation.coordinator_names if nodes.get_zone(n) != zone
     )
-    role = world.coordinators[context.victim]
-    for other in world.coordinators.values():
+    role = simulation.coordinators[context.removed_node]
+    for other in simulation.coordinators.values():
         # Two disks may be lost at once: five voters always stay.
         other.voter._options = attrs.evolve(other.voter._options, min_voters=5)
-    world.frozen.add(context.victim)
+    simulation.frozen.add(context.removed_node)
     for version in range(2, 12):
-        acknowledge(world, leader, version)
-        world.run(0.8)
-    voters = world.coordinators[world.find_leader()].voter.voters
+        replace_until_acknowledged(simulation, leader, version)
+        simulation.run(0.8)
+    voters = simulation.coordinators[simulation.find_leader()].voter.voters
     assert role.voter.member not in voters, voters
-    # What waited for it is lost: its connections were reset meanwhile.
-    world.buffers.pop(context.victim, None)
-    world.unfreeze(context.victim)
+    # Its buffered messages are lost: its connections were reset meanwhile.
+    simulation.buffers.pop(context.removed_node, None)
+    simulation.unfreeze(context.removed_node)
 
 
 @then("it votes again and holds the newest version within {limit:g} seconds")
 def _(context, limit):
-    world = context.world
-    role = world.coordinators[context.victim]
+    simulation = context.simulation
+    role = simulation.coordinators[context.removed_node]
 
     def is_back():
-        leader = world.coordinators.get(world.find_leader())
+        leader = simulation.coordinators.get(simulation.find_leader())
         return (
             leader is not None
             and role.voter.member in leader.voter.voters
             and role.version == leader.version
         )
 
-    world.run_until(is_back, limit)
+    simulation.run_until(is_back, limit)
 
 
-@then("every coordinator hears all five others")
+@then("every coordinator lists all five others as alive")
 def _(context):
-    world = context.world
-    for role in world.coordinators.values():
-        assert len(role.neighbours.list_alive(world.now)) == 5
+    simulation = context.simulation
+    for role in simulation.coordinators.values():
+        assert len(role.neighbours.list_alive(simulation.now)) == 5
 
 
-@when("a gateway starts and the first answers but one are lost")
+@when("a gateway starts and the first replies but one are lost")
 def _(context):
-    world = context.world
+    simulation = context.simulation
     context.node = nodes.make_node_name("z1", "front99", nodes.GATEWAY)
-    for other in world.coordinator_names[1:]:
-        world.partition(context.node, other)
-    world.start_gateway(context.node)
-    world.run(0.1)
-    world.heal()
+    for other in simulation.coordinator_names[1:]:
+        simulation.partition(context.node, other)
+    simulation.start_gateway(context.node)
+    simulation.run(0.1)
+    simulation.heal()
 
 
-@then("it hears all six coordinators within {limit:g} second")
+@then("it receives messages from all six coordinators within {limit:g} second")
 def _(context, limit):
-    world = context.world
-    # It starts without knowing of a leader, so it greets all of them.
-    gateway = world.gateways[context.node]
-    gateway._next_far = world.now
-    world.run_until(lambda: len(gateway._heard_at) == 6, limit)
+    simulation = context.simulation
+    # It starts without a known leader, so it sends hellos to all of them.
+    gateway = simulation.gateways[context.node]
+    gateway._next_far = simulation.now
+    simulation.run_until(lambda: len(gateway._heard_at) == 6, limit)
 
 
-@when("a home is cut off for 3 seconds and then a member elsewhere drains")
+@when(
+    "a home coordinator is partitioned for 3 s, then a member elsewhere drains"
+)
 def _(context):
-    world = context.world
-    for other in world.coordinator_names[1:]:
-        world.partition(world.coordinator_names[0], other)
-    world.run(3.0)
-    member, context.head = pick_member(world, zone="z2")
+    simulation = context.simulation
+    for other in simulation.coordinator_names[1:]:
+        simulation.partition(simulation.coordinator_names[0], other)
+    simulation.run(3.0)
+    member, context.head = pick_member(simulation, zone="z2")
     context.epoch = context.head.member.epoch
-    for node in (world.coordinator_names[0],):
-        # Its heartbeats reach the others only.
-        world.partition(node, member.name)
+    for node in (simulation.coordinator_names[0],):
+        # The member's heartbeats reach the others only.
+        simulation.partition(node, member.name)
     member.phase = instances.PHASE_DRAINING
-    world.send_heartbeat(member)
+    simulation.send_heartbeat(member)
--- a/tests/steps/life_steps.py
+++ b/tests/steps/life_steps.py
@@ -1,4 +1,4 @@
-"""Steps about servers that start again under the id that they had."""
+"""Steps about servers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 )
 from hickorylead.roles import interface
 
-FORMER = 1_784_102_400_000
-PRESENT = FORMER + 30_000
+PREVIOUS_START_MS = 1_784_102_400_000
+CURRENT_START_MS = PREVIOUS_START_MS + 30_000
 NODE = "z1/core"
 
 
-def make_life(sequence, born, **changes):
-    """Returns what a life of the server tells."""
+def make_heartbeat(sequence, born, **changes):
+    """Returns a heartbeat of an incarnation of the server."""
     return instances.Instance(
         "i1",
         "model",
@@ -34,60 +34,73 @@
     )
 
 
-def make_warm(sequence):
-    """Returns what the former life tells: it serves a model."""
+def make_previous_heartbeat(sequence):
+    """Returns a heartbeat of the previous incarnation, which serves a model."""
     member = instances.Membership("g1", 64, 0, instances.GROUP_OPEN)
-    return make_life(sequence, FORMER, models=("large",), member=member)
+    return make_heartbeat(
+        sequence, PREVIOUS_START_MS, models=("large",), member=member
+    )
 
 
-@given("a server that told 50 heartbeats and had a model in memory")
+@given("a server that sent 50 heartbeats and had a model in memory")
 def _(context):
-    context.world = fleet_simulation.FleetSimulation()
-    context.world.bootstrap()
-    context.node = context.world.coordinator_names[0]
+    context.simulation = fleet_simulation.FleetSimulation()
+    context.simulation.bootstrap()
+    context.node = context.simulation.coordinator_names[0]
     for sequence in (49, 50):
-        hear(context, make_warm(sequence))
+        deliver_heartbeat(context, make_previous_heartbeat(sequence))
 
 
-def hear(context, told):
-    """Gives a heartbeat to a coordinator."""
-    context.world.apply(context.node, events.HeartbeatArrived(told))
-    context.world.run(0.01)
+def deliver_heartbeat(context, heartbeat):
+    """Delivers a heartbeat to a coordinator."""
+    context.simulation.apply(context.node, events.HeartbeatArrived(heartbeat))
+    context.simulation.run(0.01)
 
 
-@when("it starts again and tells its first heartbeat")
+@when("it restarts and sends its first heartbeat")
 def _(context):
-    hear(context, make_life(1, PRESENT))
+    deliver_heartbeat(context, make_heartbeat(1, CURRENT_START_MS))
 
 
-@when("then {news} of the former life comes late")
-def _(context, news):
-    world, sender = context.world, context.world.coordinator_names[1]
+@when("then {update} of the previous incarnation arrives late")
+def _(context, update):
+    simulation, sender = (
+        context.simulation,
+        context.simulation.coordinator_names[1],
+    )
     arrived = fleet_simulation.interface.MessageArrived
-    match news:
+    match update:
         case "a heartbeat":
-            hear(context, make_warm(51))
-        case "a sign of life":
-            alive = messages.Alive(sender, ("i1",), (60,), (50,), (FORMER,))
-            world.apply(context.node, arrived(sender, alive, 0.0))
+            deliver_heartbeat(context, make_previous_heartbeat(51))
+        case "an Alive message":
+            alive = messages.Alive(
+                sender, ("i1",), (60,), (50,), (PREVIOUS_START_MS,)
+            )
+            simulation.apply(context.node, arrived(sender, alive, 0.0))
         case "the end":
-            world.apply(context.node, events.InstanceLeft("i1", FORMER))
-        case "the end as a news":
-            gone = attrs.evolve(make_warm(51), phase=instances.PHASE_GONE)
-            told = messages.InstanceNews(sender, (gone,))
-            world.apply(context.node, arrived(sender, told, 0.0))
-
-
-@when("then the end of the new life comes")
+            simulation.apply(
+                context.node, events.InstanceLeft("i1", PREVIOUS_START_MS)
+            )
+        case "the end as an update":
+            gone = attrs.evolve(
+                make_previous_heartbeat(51), phase=instances.PHASE_GONE
+            )
+            notice = messages.InstanceNews(sender, (gone,))
+            simulation.apply(context.node, arrived(sender, notice, 0.0))
+
+
+@when("then the end of the new incarnation arrives")
 def _(context):
-    context.world.apply(context.node, events.InstanceLeft("i1", PRESENT))
+    context.simulation.apply(
+        context.node, events.InstanceLeft("i1", CURRENT_START_MS)
+    )
 
 
-@then("the new life is known, free and with nothing in memory")
+@then("the new incarnation is known, free and with nothing in memory")
 def _(context):
-    for role in context.world.coordinators.values():
+    for role in context.simulation.coordinators.values():
         known = role.registry.instances["i1"]
-        assert known.born == PRESENT, known
+        assert known.born == CURRENT_START_MS, known
         assert known.sequence == 1, known
         assert known.phase == instances.PHASE_READY, known
         assert not known.has_group, known
@@ -96,69 +109,75 @@
 
 @then("the server is gone")
 def _(context):
-    role = context.world.coordinators[context.node]
+    role = context.simulation.coordinators[context.node]
     known = role.registry.instances["i1"]
     assert known.phase == instances.PHASE_GONE
 
 
-@given("a planner that gave two orders to a server")
+@given("a planner that issued two orders to a server")
 def _(context):
-    context.ledger = order_tracker.OrderTracker()
-    context.server = make_life(1, FORMER)
+    context.tracker = order_tracker.OrderTracker()
+    context.server = make_heartbeat(1, PREVIOUS_START_MS)
     for number, model in enumerate(("large", "small")):
-        give(context, orders.Stage(model), 10.0 + number)
-        order = orders.OrderAnswered("i1", orders.Stage(model), 202)
-        context.ledger.handle_response(order)
+        issue_order(context, orders.Stage(model), 10.0 + number)
+        response = orders.OrderAnswered("i1", orders.Stage(model), 202)
+        context.tracker.handle_response(response)
         context.server = attrs.evolve(
             context.server, sequence=number + 2, staged=(model,)
         )
-    found = give(context, orders.Stage("large"), 13.0)
+    found = issue_order(context, orders.Stage("large"), 13.0)
     assert found.expected == 2, found
 
 
-def give(context, order, now):
-    """Returns the order as a planner gives it to the server."""
-    context.ledger.begin_round({"i1": context.server}, now)
-    context.ledger.issue_order(context.server, order)
-    found = context.ledger.end_round()
-    assert len(found) == 1, found
-    return found[0]
+def issue_order(context, order, now):
+    """Returns the effect that sends the order to the server."""
+    context.tracker.begin_round({"i1": context.server}, now)
+    context.tracker.issue_order(context.server, order)
+    effects = context.tracker.end_round()
+    assert len(effects) == 1, effects
+    return effects[0]
 
 
-@when("the server starts again")
+@when("the server restarts under the same id")
 def _(context):
-    context.server = make_life(1, PRESENT)
+    context.server = make_heartbeat(1, CURRENT_START_MS)
 
 
-@then("the next order names no accepted orders")
+@then("the next order expects no accepted orders")
 def _(context):
-    assert give(context, orders.Stage("large"), 14.0).expected == 0
+    assert issue_order(context, orders.Stage("large"), 14.0).expected == 0
 
 
-@then("a report of the former life that comes late changes nothing")
+@then("a late report of the previous incarnation changes nothing")
 def _(context):
-    context.ledger.handle_report(orders.ReportArrived("i1", 2, FORMER))
-    assert give(context, orders.Stage("small"), 15.0).expected == 0
+    context.tracker.handle_report(
+        orders.ReportArrived("i1", 2, PREVIOUS_START_MS)
+    )
+    assert issue_order(context, orders.Stage("small"), 15.0).expected == 0
 
 
-@when("it is told that it leaves, with heartbeat {number:d}")
+@when("an update reports that it is leaving, with heartbeat {number:d}")
 def _(context, number):
-    leaving = attrs.evolve(make_warm(number), phase=instances.PHASE_DRAINING)
-    sender = context.world.coordinator_names[1]
-    news = messages.InstanceNews(sender, (leaving,))
-    context.world.apply(
-        context.node, interface.MessageArrived(sender, news, 0.0)
+    leaving = attrs.evolve(
+        make_previous_heartbeat(number), phase=instances.PHASE_DRAINING
+    )
+    sender = context.simulation.coordinator_names[1]
+    update = messages.InstanceNews(sender, (leaving,))
+    context.simulation.apply(
+        context.node, interface.MessageArrived(sender, update, 0.0)
     )
 
 
-@when("its heartbeat {number:d} says that it is ready")
+@when("its heartbeat {number:d} reports that it is ready")
 def _(context, number):
-    hear(context, make_warm(number))
+    deliver_heartbeat(context, make_previous_heartbeat(number))
 
 
 @then("it is known as leaving, with heartbeat {number:d}")
 def _(context, number):
-    name = make_warm(number).name
-    found = context.world.coordinators[context.node].registry.instances[name]
+    name = make_previous_heartbeat(number).name
+    found = context.simulation.coordinators[context.node].registry.instances[
+        name
+    ]
     assert found.phase == instances.PHASE_DRAINING, found
     assert found.sequence == number, found
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -107,12 +107,14 @@
     assert max(context.took) <= limit, context.took
 
 
-@then("one that is told of {elsewhere:d} loads elsewhere starts {count:d}")
+@then(
+    "a coordinator with {elsewhere:d} loads reported elsewhere starts {count:d}"
+)
 def _(context, elsewhere, count):
     assert count_started(context, 3, elsewhere) == count
 
 
-@then("one that hears of no other starts {count:d}")
+@then("a coordinator without peers starts {count:d}")
 def _(context, count):
     assert count_started(context, 1, 0) == count
 
@@ -154,7 +156,7 @@
     assert names == ["d", "c", "b"], names
 
 
-@given("a planner whose order to an empty server gets no answer")
+@given("a planner whose order to an empty server gets no response")
 def _(context):
     context.subject = make_planner()
     context.server = make_server("i1")
@@ -176,14 +178,14 @@
     return found
 
 
-@then("the order is given again after 2 seconds, with the same number")
+@then("the order is sent again after 2 seconds, with the same number")
 def _(context):
     (first, one), (second, other), *_ = context.given
     assert 2.0 <= second - first <= 2.5, (first, second)
     assert one == other
 
 
-@then("not while an answered load goes on")
+@then("not while an accepted load is in progress")
 def _(context):
     _, item = context.given[-1]
     answer = orders.OrderAnswered(item.name, item.order, 202)
@@ -313,7 +315,7 @@
     assert {o.model for o in joins.values()} == {"large"}
 
 
-@given("a domain where a small group gives way to complete a large one")
+@given("a domain where a small group is retired to complete a large one")
 def _(context):
     context.subject = make_planner()
     closing = make_small_group(1, instances.GROUP_CLOSING)
@@ -345,13 +347,13 @@
         now += STEP_S
 
 
-@then("it counts 3 loads under way and orders none of them again")
+@then("it counts 3 loads in progress and orders none of them again")
 def _(context):
     assert len(context.subject._tracker.list_loading()) == 3
     assert context.again == {"e0": 1, "e1": 1, "e2": 1}, context.again
 
 
-@given("three coordinators, one of which had an empty server load")
+@given("three coordinators, one of which ordered an empty server to load")
 def _(context):
     context.world = fleet_simulation.FleetSimulation()
     context.world.bootstrap()
@@ -371,7 +373,7 @@
     world.run(0.1)
 
 
-@then("all three know that the server loads, until it tells the model")
+@then("all three list the server as loading until it reports the model")
 def _(context):
     world = context.world
     for role in world.coordinators.values():
@@ -419,14 +421,14 @@
     assert not plan_small_store(context, 12.0)
 
 
-@then("the other two are told to load")
+@then("the other two are ordered to load")
 def _(context):
     lost = sorted(context.first)[:2]
     others = {s.name for s in context.present} - context.first
     assert plan_small_store(context, 14.0, lost) == others
 
 
-@when("a server is wanted for a group that lacks 3 and for one that lacks 1")
+@when("a load is requested for a group that lacks 3 and one that lacks 1")
 def _(context):
     context.budget = loads.LoadBudget()
     under_way = loads.LoadsInProgress(0, 0)
@@ -440,7 +442,7 @@
         context.budget.request(wish)
 
 
-@then("it loads for the one that lacks 1")
+@then("the server loads for the group that lacks 1")
 def _(context):
     models = [wish.model for wish in context.budget.grant()]
     assert models == ["small"], models
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -10,64 +10,66 @@
 from hickorylead.roles import nodes
 
 
-def list_open_in_zone(world, zone):
+def list_open_in_zone(simulation, zone):
     """Returns the heads that serve in a zone."""
-    return [s for s in world.list_open() if s.zone == zone]
+    return [s for s in simulation.list_open() if s.zone == zone]
 
 
 @given("three coordinators with {count:d} servers in each zone")
 def _(context, count):
-    context.world = fleet_simulation.FleetSimulation(
+    context.simulation = fleet_simulation.FleetSimulation(
         servers_per_zone=count, domain_size=count
     )
-    context.world.bootstrap()
+    context.simulation.bootstrap()
 
 
 @when("messages from a coordinator no longer reach any other coordinator")
 def _(context):
-    world = context.world
-    world.run(3.0)
-    context.node = world.coordinator_names[0]
-    world.one_way_partitions |= {
-        (context.node, other) for other in world.coordinator_names
+    simulation = context.simulation
+    simulation.run(3.0)
+    context.node = simulation.coordinator_names[0]
+    simulation.one_way_partitions |= {
+        (context.node, other) for other in simulation.coordinator_names
     }
 
 
 @when("members of two groups in its zone crash one after the other")
 def _(context):
-    world = context.world
+    simulation = context.simulation
     zone = nodes.get_zone(context.node)
     heads = sorted(
-        list_open_in_zone(world, zone), key=lambda s: -len(s.members)
+        list_open_in_zone(simulation, zone), key=lambda s: -len(s.members)
     )
     assert len(heads) > 1, heads
-    # No time has passed since the cut.
-    cut_at = world.now
+    # No simulated time has passed since the partition began.
+    partitioned_at = simulation.now
     context.orders_by_others = []
 
-    def record_order(node, call):
+    def record_order(node, effect):
         if (
             node != context.node
-            and call.name.startswith(zone)
-            and isinstance(call, orders.SendOrder)
+            and effect.name.startswith(zone)
+            and isinstance(effect, orders.SendOrder)
         ):
-            delay = world.now - cut_at
-            context.orders_by_others.append((delay, node, call))
+            delay = simulation.now - partitioned_at
+            context.orders_by_others.append((delay, node, effect))
 
-    world.on_call = record_order
+    simulation.on_call = record_order
     for head in heads[:2]:
-        world.crash(head.members[1])
-        world.run(5.0)
+        simulation.crash(head.members[1])
+        simulation.run(5.0)
 
 
 @then("no server was moved out of a serving group")
 def _(context):
-    assert not context.world.conflicting_joins, context.world.conflicting_joins
+    assert not context.simulation.conflicting_joins, (
+        context.simulation.conflicting_joins
+    )
 
 
 @then(
-    "no other coordinator gave orders in its zone more than {delay:g} s after"
-    " the cut"
+    "no other coordinator sent orders in its zone more than {delay:g} s after"
+    " the partition"
 )
 def _(context, delay):
     late = [entry for entry in context.orders_by_others if entry[0] > delay]
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""Coordinators, gateways and backend servers in one process, in given time.
+"""Coordinators, gateways and backend servers in simulated time.
 
-The network delays messages and can be cut; disks keep what was persisted. The
-reducers of the product decide everything.
+All run in one process. The network delays messages and can be partitioned;
+disks keep what was persisted. The nodes run the reducers of the product.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 ZONES = ("z1", "z2", "z3")
 LATENCY_S = 0.001
 HEARTBEAT_S = 1.2
-TUNING = voter_module.VoterOptions(
+VOTER_OPTIONS = voter_module.VoterOptions(
     0.15,
     0.7,
     1.4,
@@ -110,13 +110,13 @@
 
 
 def write_content(found: document.Document) -> bytes:
-    """Returns content that `read_content` reads: tests need no format."""
+    """Returns content for `read_content`, in a format of the tests only."""
     names = json.dumps([w.keys for w in found.workspaces])
     return document.compress_content(f"{found.version} {names}".encode())
 
 
 def read_content(packed: bytes) -> result.Result[document.Document, str]:
-    """Returns the configuration that some content stands for."""
+    """Returns the configuration that `write_content` has encoded."""
     version, _, names = (
         document.decompress_content(packed).decode().partition(" ")
     )
@@ -151,37 +151,37 @@
         self.now = 100.0
         self.rng = random.Random(seed)
         self._queue: list[tuple[float, int, Any]] = []
-        self._count = itertools.count()
+        self._sequence = itertools.count()
         self.coordinators: dict[str, coordinator.Coordinator] = {}
         self.gateways: dict[str, gateway.Gateway] = {}
         self.disks: dict[str, Disk] = {}
         self.servers: dict[str, simulated_servers.SimulatedServer] = {}
         self.frozen: set[str] = set()
-        # What came while a node was frozen, in order.
+        # Events that arrived while a node was frozen, in order.
         self.buffers: dict[str, list[Any]] = {}
-        # Whom each node has heard since it started.
-        self.heard: dict[str, set[str]] = {}
+        # Nodes whose messages each node has received since it started.
+        self.known_senders: dict[str, set[str]] = {}
         self.partitions: set[frozenset[str]] = set()
         # (sender, target) pairs whose messages are dropped.
         self.one_way_partitions: set[tuple[str, str]] = set()
         # Accepted joins that removed a server from a group with an open head.
         self.conflicting_joins: list[str] = []
-        self.answers: dict[str, Any] = {}
+        self.outcomes: dict[str, Any] = {}
         self.notes: list[tuple[float, str, Any]] = []
         self.gateway_effects: list[tuple[float, str, Any]] = []
-        # Called with sender, target and message of all that is sent.
+        # Called with sender, target and message for each message sent.
         self.on_send = None
-        # Called with coordinator and effect for each order and question.
+        # Called with coordinator and effect for each order and probe.
         self.on_call = None
-        self._boots = 0
-        # When gateways started, and which.
+        self._start_count = 0
+        # Start times and names of gateways.
         self.starts: list[tuple[float, str]] = []
         self.coordinator_names = [
             nodes.make_node_name(zone, f"core{number or ''}", nodes.COORDINATOR)
             for number in range(coordinators_per_zone)
             for zone in ZONES
         ]
-        # The operators' list names three machines at most.
+        # Operators list at most three coordinators as seeds.
         self.seeds = tuple(self.coordinator_names[:3])
         for node in self.coordinator_names:
             self.disks[node] = Disk(f"d{len(self.disks)}")
@@ -196,14 +196,14 @@
                 self.add_server(
                     f"{zone}-s{number}", zone, number // domain_size
                 )
-        self.call_at(HEARTBEAT_S, self._beat)
+        self.call_at(HEARTBEAT_S, self._schedule_heartbeats)
 
     # Nodes.
 
     def start(self, node: str, *, first: bool = False) -> None:
         """Starts a coordinator with what its disk holds."""
         disk = self.disks[node]
-        self.heard.pop(node, None)
+        self.known_senders.pop(node, None)
         self.coordinators[node] = coordinator.Coordinator(
             identity.Identity(
                 node=node,
@@ -219,36 +219,36 @@
             records=list(disk.records),
             rng=random.Random(f"{node}{self.rng.random()}"),
             now=self.now,
-            tuning=TUNING,
+            tuning=VOTER_OPTIONS,
         )
-        life = self.coordinators[node]
-        life.registry.restore(disk.servers, self.now)
+        role = self.coordinators[node]
+        role.registry.restore(disk.servers, self.now)
         if disk.crashes is not None:
-            life.crashes.restore(disk.crashes, self.now)
-        self.call_at(0.0, lambda: self._tick(node, life, coordinator.TICK_S))
+            role.crashes.restore(disk.crashes, self.now)
+        self.call_at(0.0, lambda: self._tick(node, role, coordinator.TICK_S))
 
     def start_gateway(self, node: str) -> None:
-        """Starts a gateway, which knows nothing."""
-        self._boots += 1
+        """Starts a gateway without any state."""
+        self._start_count += 1
         self.starts.append((self.now, node))
-        self.heard.pop(node, None)
+        self.known_senders.pop(node, None)
         self.gateways[node] = gateway.Gateway(
-            gateway.Identity(node, self._boots, self.seeds),
+            gateway.Identity(node, self._start_count, self.seeds),
             read_document=read_content,
             rng=random.Random(f"{node}{self.rng.random()}"),
             now=self.now,
         )
-        life = self.gateways[node]
-        self.call_at(0.0, lambda: self._tick(node, life, gateway.TICK_S))
+        role = self.gateways[node]
+        self.call_at(0.0, lambda: self._tick(node, role, gateway.TICK_S))
 
     def kill(self, node: str) -> None:
-        """Ends a process; its disk stays."""
+        """Kills a process; its disk stays."""
         self.coordinators.pop(node, None)
         self.gateways.pop(node, None)
 
     def wipe(self, node: str) -> None:
         """Empties a disk."""
-        self.disks[node] = Disk(f"w{next(self._count)}")
+        self.disks[node] = Disk(f"w{next(self._sequence)}")
 
     def add_server(
         self, name: str, zone: str, domain: int = 0
@@ -262,24 +262,24 @@
         return server
 
     def unfreeze(self, node: str) -> None:
-        """Wakes a frozen node; what waited in its buffers comes first."""
+        """Unfreezes a node; it handles its buffered events first."""
         self.frozen.discard(node)
         for event in self.buffers.pop(node, []):
             self.apply(node, event)
 
     def partition(self, first: str, second: str) -> None:
-        """Cuts the network between two nodes, both ways."""
+        """Partitions the network between two nodes in both directions."""
         self.partitions.add(frozenset((first, second)))
 
     def heal(self) -> None:
-        """Joins all networks again."""
+        """Removes all partitions."""
         self.partitions.clear()
         self.one_way_partitions.clear()
 
     # Time.
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
@@ -287,33 +287,33 @@
         self.now = end
 
     def run_until(self, condition, limit_s: float = 20.0) -> float:
-        """Lets time pass until something holds; returns how long it took."""
-        began = self.now
+        """Advances the time until a condition holds; returns the time taken."""
+        started_at = self.now
         while not condition():
-            if self.now - began > limit_s:
-                raise AssertionError(f"not within {limit_s} s")
+            if self.now - started_at > limit_s:
+                raise AssertionError(f"condition not met within {limit_s} s")
             self.run(0.02)
-        return self.now - began
+        return self.now - started_at
 
     def call_at(self, delay_s: float, action) -> None:
-        entry = (self.now + delay_s, next(self._count), action)
+        entry = (self.now + delay_s, next(self._sequence), action)
         heapq.heappush(self._queue, entry)
 
-    def _tick(self, node: str, life: Any, period_s: float) -> None:
-        if self._find(node) is not life:
+    def _tick(self, node: str, role: Any, period_s: float) -> None:
+        if self._find_role(node) is not role:
             return
         if node not in self.frozen:
             self.apply(node, interface.Tick(0.0))
-        self.call_at(period_s, lambda: self._tick(node, life, period_s))
+        self.call_at(period_s, lambda: self._tick(node, role, period_s))
 
-    def _find(self, node: str) -> Any:
+    def _find_role(self, node: str) -> Any:
         return self.coordinators.get(node) or self.gateways.get(node)
 
     # Events and effects.
 
     def apply(self, node: str, event: Any) -> None:
-        """Gives an event to a node and carries out its effects."""
-        role = self._find(node)
+        """Delivers an event to a node and carries out its effects."""
+        role = self._find_role(node)
         if role is None:
             return
         if node in self.frozen:
@@ -325,12 +325,12 @@
     def _carry_out(self, node: str, effect: Any) -> None:
         match effect:
             case interface.Send(target, message):
-                # As connections do: a name can be sent to only once a message
-                # of that node told where it is; "@" is followed by an address.
+                # As on real connections, a name can be sent to only after a
+                # message from that node arrived; "@" precedes an address.
                 if (
                     not target.startswith("@")
                     and target != node
-                    and target not in self.heard.get(node, ())
+                    and target not in self.known_senders.get(node, ())
                 ):
                     return
                 target = target.removeprefix("@")
@@ -350,11 +350,11 @@
             case events.SaveCrashes(known):
                 self.disks[node].crashes = known
             case events.AnswerReplace(token, accepted):
-                self.answers[token] = accepted
+                self.outcomes[token] = accepted
             case events.AnswerRead(token, version, content):
-                self.answers[token] = None if content is None else version
+                self.outcomes[token] = None if content is None else version
             case orders.SendOrder():
-                self.call_at(LATENCY_S, lambda: self._give(node, effect))
+                self.call_at(LATENCY_S, lambda: self._send_order(node, effect))
             case orders.RequestReport():
                 self.call_at(LATENCY_S, lambda: self._report(node, effect))
             case _ if node in self.gateways:
@@ -363,26 +363,26 @@
                 self.notes.append((self.now, node, effect))
 
     def _arrive(self, target: str, arrived: interface.MessageArrived) -> None:
-        if self._find(target) is not None and target not in self.frozen:
-            self.heard.setdefault(target, set()).add(arrived.sender)
+        if self._find_role(target) is not None and target not in self.frozen:
+            self.known_senders.setdefault(target, set()).add(arrived.sender)
         self.apply(target, arrived)
 
-    def _give(self, node: str, give: orders.SendOrder) -> None:
+    def _send_order(self, node: str, effect: orders.SendOrder) -> None:
         if self.on_call is not None:
-            self.on_call(node, give)
-        server = self.servers.get(give.name)
-        if server is None or frozenset((node, give.name)) in self.partitions:
-            lost = orders.OrderAnswered(give.name, give.order, 0)
-            self.call_at(0.4, lambda: self.apply(node, lost))
+            self.on_call(node, effect)
+        server = self.servers.get(effect.name)
+        if server is None or frozenset((node, effect.name)) in self.partitions:
+            no_response = orders.OrderAnswered(effect.name, effect.order, 0)
+            self.call_at(0.4, lambda: self.apply(node, no_response))
             return
         previous_group = server.member.group
         had_open_head = self._has_open_head(server)
-        status = server.apply_order(give.order, give.expected, self.now)
-        is_join = isinstance(give.order, orders.Join)
+        status = server.apply_order(effect.order, effect.expected, self.now)
+        is_join = isinstance(effect.order, orders.Join)
         if status == 202 and had_open_head and is_join:
             self.conflicting_joins.append(
-                f"{self.now:.3f}: {node} moved {give.name} from serving group"
-                f" {previous_group} to {give.order.group}"
+                f"{self.now:.3f}: {node} moved {effect.name} from serving group"
+                f" {previous_group} to {effect.order.group}"
             )
         self.send_heartbeat(server)
         self.call_at(0.51, lambda: self._advance(server))
@@ -391,23 +391,23 @@
         self.call_at(
             simulated_servers.LOAD_S + 0.01, lambda: self._advance(server)
         )
-        answered = orders.OrderAnswered(give.name, give.order, status)
-        self.call_at(LATENCY_S, lambda: self.apply(node, answered))
+        response = orders.OrderAnswered(effect.name, effect.order, status)
+        self.call_at(LATENCY_S, lambda: self.apply(node, response))
 
-    def _report(self, node: str, question: orders.RequestReport) -> None:
+    def _report(self, node: str, probe: orders.RequestReport) -> None:
         if self.on_call is not None:
-            self.on_call(node, question)
-        server = self.servers.get(question.name)
-        reached = (
+            self.on_call(node, probe)
+        server = self.servers.get(probe.name)
+        is_reachable = (
             server is not None
-            and frozenset((node, question.name)) not in self.partitions
+            and frozenset((node, probe.name)) not in self.partitions
         )
         arrived = orders.ReportArrived(
-            question.name,
-            server.accepted if server and reached else None,
+            probe.name,
+            server.accepted if server and is_reachable else None,
             member=server.member if server else instances.Membership(),
         )
-        wait_s = LATENCY_S if reached else 0.25
+        wait_s = LATENCY_S if is_reachable else 0.25
         self.call_at(wait_s, lambda: self.apply(node, arrived))
 
     def _advance(self, server: simulated_servers.SimulatedServer) -> None:
@@ -417,7 +417,7 @@
     def send_heartbeat(self, server: simulated_servers.SimulatedServer) -> None:
         if not server.alive:
             return
-        told = server.make_heartbeat()
+        heartbeat = server.make_heartbeat()
         reachable = [
             node
             for node in self.coordinators
@@ -427,32 +427,32 @@
         own = [n for n in reachable if nodes.get_zone(n) == server.zone]
         if own or reachable:
             node = self.rng.choice(own or reachable)
-            heard = events.HeartbeatArrived(told)
-            self.call_at(LATENCY_S, lambda: self.apply(node, heard))
+            event = events.HeartbeatArrived(heartbeat)
+            self.call_at(LATENCY_S, lambda: self.apply(node, event))
 
-    def _beat(self) -> None:
+    def _schedule_heartbeats(self) -> None:
         for server in list(self.servers.values()):
-            # Not all at once: each has a time of its own in the period.
+            # Each server sends at a random time within the period.
             delay_s = self.rng.uniform(0.0, 0.9 * HEARTBEAT_S)
             self.call_at(delay_s, lambda s=server: self.send_heartbeat(s))
-        self.call_at(HEARTBEAT_S, self._beat)
+        self.call_at(HEARTBEAT_S, self._schedule_heartbeats)
 
-    # What tests ask.
+    # Faults, requests and state for tests.
 
     def crash(self, name: str) -> None:
-        """Ends a backend server without a word."""
+        """Crashes a backend server without a message."""
         self.servers.pop(name).alive = False
 
     def replace(self, node: str, version: int, token: str = "") -> str:
-        """Sends a configuration to a coordinator; returns its token."""
-        token = token or f"t{next(self._count)}"
+        """Sends a configuration to a coordinator; returns the token."""
+        token = token or f"t{next(self._sequence)}"
         content = write_content(make_document(version))
         self.apply(node, events.ReplaceRequested(token, version, content))
         return token
 
     def read(self, node: str) -> str:
-        """Asks a coordinator for the newest; returns the token."""
-        token = f"r{next(self._count)}"
+        """Reads the newest configuration; returns the token of the request."""
+        token = f"r{next(self._sequence)}"
         self.apply(node, events.ReadRequested(token))
         return token
 
@@ -469,10 +469,10 @@
             server
             for server in self.servers.values()
             if server.member.state == instances.GROUP_OPEN
-            and all(self._belongs(name, server) for name in server.members)
+            and all(self._is_in_group(name, server) for name in server.members)
         ]
 
-    def _belongs(
+    def _is_in_group(
         self, name: str, head: simulated_servers.SimulatedServer
     ) -> bool:
         member = self.servers.get(name)
@@ -494,6 +494,6 @@
         """Puts a first configuration in force and waits for groups."""
         self.run(2.0)
         token = self.replace(self.coordinator_names[0], version)
-        self.run_until(lambda: self.answers.get(token) is True, 5.0)
+        self.run_until(lambda: self.outcomes.get(token) is True, 5.0)
         self.run_until(lambda: len(self.list_open()) >= 2 * len(ZONES))
         self.run(1.0)
--- a/tests/support/simulated_servers.py
+++ b/tests/support/simulated_servers.py
@@ -1,4 +1,4 @@
-"""A model of one backend server that forms groups, as its interface says."""
+"""A simulated backend server that forms groups by the documented interface."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 
 WARM_S = 0.2
 STAGED_S = 0.5
-# Short beside the real 12 to 16 s, so that short schedules see whole lives.
+# Shorter than the real 12 to 16 s, so that short schedules cover complete
+# loads and group lifetimes.
 LOAD_S = 1.5
 FORM_S = 0.3
-# A head that stands still tells itself broken after this, in seconds.
+# A head aborts its group's streams after waiting this long for its members.
 STALL_S = 5.0
-KEPT_STAGED = 1
+MAX_STAGED_MODELS = 1
 
 
 @attrs.define
 class SimulatedServer:
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
     Attributes:
-        name: Id of the life.
+        name: Id of the server.
         zone: Its zone.
         domain: Its fabric domain.
-        accepted: Orders it has accepted.
-        loads: When it began to load from the weight store.
-        born: When its life began, in milliseconds; 0 if ids tell lives apart.
+        accepted: Number of orders it has accepted.
+        loads: Start times of its loads from the weight store.
+        born: Start time of the incarnation in milliseconds; 0 if each
+            incarnation has an id of its own.
     """
 
     name: str
@@ -72,17 +74,17 @@
         )
 
     def advance(self, now: float) -> bool:
-        """Lets time pass; says whether its state changed."""
+        """Advances to a time; returns whether the server's state changed."""
         changed = False
         for model, at in list(self.staging.items()):
             if now >= at:
                 del self.staging[model]
-                self._keep(model)
+                self._add_staged(model)
                 changed = True
         state = self.member.state
         if state == instances.GROUP_JOINING and now >= self.ready_at:
             self.last_model = self.model
-            self._keep(self.model)
+            self._add_staged(self.model)
             self._set_state(instances.GROUP_READY)
             changed = True
         elif state == instances.GROUP_READY and 0 < self.open_at <= now:
@@ -94,7 +96,7 @@
     def apply_order(
         self, order: orders.Order, expected: int | None, now: float
     ) -> int:
-        """Carries out an order; returns the status of the answer."""
+        """Carries out an order; returns the status of the response."""
         if expected is not None and expected != self.accepted:
             return 409
         match order:
@@ -163,11 +165,11 @@
             self.ready_at = now + LOAD_S
         return 202
 
-    def _keep(self, model: str) -> None:
+    def _add_staged(self, model: str) -> None:
         if model in self.staged:
             self.staged.remove(model)
         self.staged.append(model)
-        del self.staged[:-KEPT_STAGED]
+        del self.staged[:-MAX_STAGED_MODELS]
 
     def _set_state(self, state: str) -> None:
         self.member = attrs.evolve(self.member, state=state)
