--- a/src/hickorylead/roles/__init__.py
+++ b/src/hickorylead/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The top reducers of the long-running roles, and their seam."""
+"""Top-level reducers of the long-running roles, and their interface."""
--- a/src/hickorylead/roles/founding.py
+++ b/src/hickorylead/roles/bootstrap.py
@@ -1,4 +1,4 @@
-"""The start of a cluster, by one control process with a data folder."""
+"""Bootstrap of a cluster by one control process with a data folder."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class Decision:
-    """How a request to start a cluster ends.
+    """Outcome of a request to bootstrap a cluster.
 
     Attributes:
-        entry: The entry that asked.
-        reply: Its answer.
-        voters: The first members; empty if no cluster is started.
+        entry: The entry that sent the request.
+        reply: The reply to that entry.
+        voters: The first voters; empty if no cluster is bootstrapped.
     """
 
     entry: str
@@ -27,14 +27,14 @@
     voters: tuple[str, ...] = ()
 
 
-class Founding:
-    """Asks every control process who it is, then decides."""
+class ClusterBootstrap:
+    """Queries the identity of every control process, then decides."""
 
     def __init__(self, *, node: str, controls: Sequence[str]) -> None:
-        """Makes the part of a process that was not asked yet.
+        """Initializes it without a pending request.
 
         Args:
-            node: Name of this control process.
+            node: Node name of this control process.
             controls: All control processes of all zones.
         """
         self._node = node
@@ -43,17 +43,18 @@
         self._replies: dict[str, messages.IdentityReply] = {}
 
     def start(self, request: messages.FoundRequest) -> list[messages.Send]:
-        """Asks all control processes, this one too."""
+        """Queries all control processes, including this one."""
         self._request = request
         self._replies = {}
-        ask = messages.IdentityRequest(self._node)
-        return [messages.Send(node, ask) for node in self._controls]
+        query = messages.IdentityRequest(self._node)
+        return [messages.Send(node, query) for node in self._controls]
 
     def receive(self, reply: messages.IdentityReply) -> Decision | None:
-        """Takes an answer; decides once every control process has answered.
+        """Handles a reply; decides once every control process has replied.
 
-        All must answer, because one that is not asked could belong to a
-        cluster already, and its accepted changes would be lost from sight.
+        All must reply: a control process that was left out could belong to an
+        existing cluster already, whose accepted changes the new cluster would
+        not contain.
         """
         request = self._request
         if request is None:
--- a/src/hickorylead/roles/control.py
+++ b/src/hickorylead/roles/control.py
@@ -1,7 +1,7 @@
 """The reducer of a control process.
 
 It holds claims, takes part in its zone's lease, follows the configuration,
-and votes on it if it has a data folder.
+and is a voter of the configuration log if it has a data folder.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 )
 from hickorylead.placement import planner
 from hickorylead.roles import (
-    founding as founding_module,
+    bootstrap,
     interface,
     nodes,
     status,
-    zoneholder,
+    zone_controller,
 )
 from hickorylead.routing import messages as routing_messages
 
@@ -48,13 +48,13 @@
 
 @attrs.frozen
 class Identity:
-    """Who a control process is.
+    """Identity of a control process.
 
     Attributes:
-        node: Its name.
-        control_nodes: All control processes of all zones, by the settings.
-        incarnation: Name of the data folder's present life; empty without a
-            data folder.
+        node: Its node name.
+        control_nodes: All control processes of all zones, from the settings.
+        incarnation: Incarnation of this voter, as recorded in its data
+            folder; empty without a data folder.
     """
 
     node: str
@@ -74,21 +74,21 @@
         records: Sequence[consensus_messages.Record],
         rng: random.Random,
         now: float,
-        wall: float,
+        wall_time: float,
     ) -> None:
-        """Makes a control process that has just started.
+        """Initializes a control process that has just started.
 
         Args:
-            identity: Who it is.
-            policy: Trade between downtime and stranded accelerators.
+            identity: Its identity.
+            policy: Trade-off between downtime and stranded accelerators.
             max_skew_s: Largest difference between any two clocks.
-            records: Its journal, if it has a data folder.
-            rng: Source of the spread of timeouts.
+            records: Records of its journal, if it has a data folder.
+            rng: Source of the jitter of timeouts.
             now: Monotonic time.
-            wall: Wall-clock time, in Unix seconds.
+            wall_time: Wall-clock time, in Unix seconds.
         """
         self._identity = identity
-        self._others = tuple(
+        self._other_controls = tuple(
             n for n in identity.control_nodes if n != identity.node
         )
         self._zone = nodes.get_zone(identity.node)
@@ -104,7 +104,7 @@
             self._voter = voter_module.Voter(
                 node=identity.node,
                 incarnation=identity.incarnation,
-                peers=self._others,
+                peers=self._other_controls,
                 rng=rng,
                 now=now,
             )
@@ -114,7 +114,7 @@
             node=identity.node, nodes=zone_controls, rng=rng, now=now
         )
         self._registry = registry_module.MembershipRegistry()
-        self._holder = zoneholder.ZoneHolder(
+        self._zone_controller = zone_controller.ZoneController(
             node=identity.node,
             controls=identity.control_nodes,
             registry=self._registry,
@@ -123,86 +123,97 @@
             now=now,
         )
         self._claims = claim_holder.ClaimHolder(
-            node=identity.node, started_at=wall, max_skew_s=max_skew_s
+            node=identity.node, started_at=wall_time, max_skew_s=max_skew_s
         )
         self._crashes = crash_tracker_module.CrashTracker(identity.node)
-        self._next_retell = now
-        self._askers: dict[str, str] = {}
-        self._founding = founding_module.Founding(
+        self._next_resend = now
+        self._requesters: dict[str, str] = {}
+        self._bootstrap = bootstrap.ClusterBootstrap(
             node=identity.node, controls=identity.control_nodes
         )
 
     @property
     def version(self) -> int:
-        """Configuration version that it holds."""
+        """Version of the configuration that this process holds."""
         return self._follower.version
 
     @property
     def voter(self) -> voter_module.Voter | None:
-        """Its vote on the configuration, if it has a data folder."""
+        """Voter of the configuration log, if there is a data folder."""
         return self._voter
 
     @property
     def groups(self) -> Mapping[str, groups_module.Group]:
-        """Replica groups as this process last knew them as holder."""
-        return self._holder.groups
+        """Replica groups, as of when this process last held the lease."""
+        return self._zone_controller.groups
 
-    def may_order(self, now: float) -> bool:
-        """Says whether an order may be given; asked right before each one."""
-        return self._holder.may_order(now)
+    def may_issue_orders(self, now: float) -> bool:
+        """Returns whether an order may be issued.
+
+        Callers check this right before they send each order.
+        """
+        return self._zone_controller.may_issue_orders(now)
 
     def reduce(
         self, event: interface.ControlEvent, now: float
     ) -> list[interface.ControlEffect]:
-        """Handles one event and returns what is to be done."""
+        """Handles one event and returns the effects to carry out."""
         match event:
             case interface.Tick():
                 return self._tick(now)
-            case interface.MessageArrived(sender, message, wall):
-                return self._receive(sender, message, now, wall)
+            case interface.MessageArrived(sender, message, wall_time):
+                return self._receive(sender, message, now, wall_time)
 
     def _tick(self, now: float) -> list[interface.ControlEffect]:
         effects: list[interface.ControlEffect] = []
         if self._voter is not None:
-            effects += self._wrap_votes(self._voter.tick(now), now)
+            effects += self._convert_voter_effects(self._voter.tick(now), now)
             if self._voter.is_ready_leader(now):
                 self._follower.ready = True
         self._registry.tick(now)
-        effects += _wrap(self._lease.tick(now))
-        effects += _wrap(self._follower.poll(now))
-        known = self._follower.configuration if self._follower.ready else None
-        effects += self._block(now)
-        return effects + _wrap(self._holder.tick(known, now))
+        effects += _convert_effects(self._lease.tick(now))
+        effects += _convert_effects(self._follower.poll(now))
+        configuration = (
+            self._follower.configuration if self._follower.ready else None
+        )
+        effects += self._send_blocks(now)
+        return effects + _convert_effects(
+            self._zone_controller.tick(configuration, now)
+        )
 
-    # Requests that end servers.
+    # Requests under which servers end.
 
-    def _take_crashes(
-        self, news: crash_messages.CrashNews, now: float
+    def _handle_crash_update(
+        self, update: crash_messages.CrashNews, now: float
     ) -> list[interface.ControlEffect]:
-        is_passed = news.sender in self._others
-        others = () if is_passed else self._others
-        return _send_all(self._crashes.merge(news, others, now))
+        is_forwarded = update.sender in self._other_controls
+        others = () if is_forwarded else self._other_controls
+        return _send_all(self._crashes.merge(update, others, now))
 
-    def _block(self, now: float) -> list[interface.ControlEffect]:
-        """Tells the zone's entries what is blocked, at once and again later.
+    def _send_blocks(self, now: float) -> list[interface.ControlEffect]:
+        """Sends blocked requests to the zone's entries, then resends them.
 
-        Another zone's control processes are told why, as they may all have
-        restarted.
+        Other control processes get the evidence again as well: all control
+        processes of a zone may have restarted and lost it.
         """
         entries = sorted(self._registry.entries)
-        # Entries find out which replicas ended; nothing is told before.
+        # Entries detect which replicas ended; nothing is sent before that.
         sent, _ = self._crashes.tick(lambda _: False, entries, now)
-        if now >= self._next_retell:
-            self._next_retell = now + crash_tracker_module.RETELL_PERIOD_S
+        if now >= self._next_resend:
+            self._next_resend = now + crash_tracker_module.RETELL_PERIOD_S
             if self._crashes.count_blocked():
-                news = self._crashes.make_block_update(now)
-                sent = [(node, news) for node in entries]
-                proof = self._crashes.make_evidence_update(now)
-                sent += [(n, proof) for n in self._others]
+                update = self._crashes.make_block_update(now)
+                sent = [(node, update) for node in entries]
+                evidence = self._crashes.make_evidence_update(now)
+                sent += [(n, evidence) for n in self._other_controls]
         return _send_all(sent)
 
     def _receive(
-        self, sender: str, message: interface.Message, now: float, wall: float
+        self,
+        sender: str,
+        message: interface.Message,
+        now: float,
+        wall_time: float,
     ) -> list[interface.ControlEffect]:
         match message:
             case (
@@ -218,17 +229,21 @@
                 | claim_messages.ClaimRelease()
                 | claim_messages.ClaimFinish()
             ):
-                return _wrap(self._claims.receive(message, wall))
+                return _convert_effects(
+                    self._claims.receive(message, wall_time)
+                )
             case crash_messages.CrashNews():
-                return self._take_crashes(message, now)
+                return self._handle_crash_update(message, now)
             case lease_messages.LeaseRequest() | lease_messages.LeaseReply():
-                return _wrap(self._lease.receive(message, now))
+                return _convert_effects(self._lease.receive(message, now))
             case (
                 routing_messages.TableUpdate()
                 | routing_messages.TableRequest()
                 | routing_messages.Withdrawal()
             ):
-                return _wrap(self._holder.receive(message, sender, now))
+                return _convert_effects(
+                    self._zone_controller.receive(message, sender, now)
+                )
             case (
                 consensus_messages.VoteRequest()
                 | consensus_messages.VoteReply()
@@ -239,7 +254,9 @@
             ):
                 if self._voter is None:
                     return []
-                return self._wrap_votes(self._voter.receive(message, now), now)
+                return self._convert_voter_effects(
+                    self._voter.receive(message, now), now
+                )
             case status.StatusRequest(entry, token):
                 reply = status.StatusReply(token, self.get_status(now))
                 return [interface.Send(entry, reply)]
@@ -248,20 +265,20 @@
                 if entry_node not in self._registry.entries:
                     return []
                 return [interface.Send(entry_node, message)]
-            case status.ExplainReply(asker=asker):
-                return [interface.Send(asker, message)]
+            case status.ExplainReply(asker=requester):
+                return [interface.Send(requester, message)]
             case status.StatusReply():
                 return []
             case _ if isinstance(message, messages.Message):
                 return self._receive_configuration(message, now)
             case _:
-                # For a coordinator or a gateway; a wrong address somewhere.
+                # For a coordinator or a gateway: sent to a wrong address.
                 return []
 
     def _receive_membership(
         self, message: member_messages.Message, now: float
     ) -> list[interface.ControlEffect]:
-        effects = _wrap(self._registry.receive(message, now))
+        effects = _convert_effects(self._registry.receive(message, now))
         match message:
             case member_messages.Digest(entry=entry, fence=fence):
                 self._lease.observe_fencing_number(fence)
@@ -271,7 +288,9 @@
             case member_messages.Edge(state=state):
                 self._lease.observe_fencing_number(state.fence)
                 if state.phase == announcements.PHASE_LEAVING:
-                    effects += _wrap(self._holder.withdraw(state))
+                    effects += _convert_effects(
+                        self._zone_controller.withdraw(state)
+                    )
         return effects
 
     # The configuration.
@@ -283,10 +302,10 @@
             case messages.ConfigurationRequest(node, version):
                 return [interface.Send(node, self._make_update(version, now))]
             case messages.ConfigurationUpdate():
-                rose = self._follower.receive(message, now)
-                return self._tell_entries(now) if rose else []
+                is_new = self._follower.receive(message, now)
+                return self._send_update_to_entries(now) if is_new else []
             case messages.ChangeRequest(entry, change):
-                return self._take_change(entry, change, now)
+                return self._handle_change(entry, change, now)
             case messages.IdentityRequest(node):
                 member = self._voter.member if self._voter else ""
                 cluster = self._voter.cluster if self._voter else ""
@@ -295,9 +314,9 @@
                 )
                 return [interface.Send(node, identity)]
             case messages.FoundRequest():
-                return _wrap(self._founding.start(message))
+                return _convert_effects(self._bootstrap.start(message))
             case messages.IdentityReply():
-                return self._found(message, now)
+                return self._handle_identity(message, now)
             case messages.ChangeReply() | messages.FoundReply():
                 return []
 
@@ -316,20 +335,20 @@
         return attrs.evolve(update, configuration=self._follower.configuration)
 
     def _find_leader(self, now: float) -> str:
-        """Returns the control process that leads the log, if it is known."""
+        """Returns the leader of the log; empty if it is unknown."""
         if self._voter is None:
             return self._follower.find_leader(now)
         if not self._voter.has_leader(now):
             return ""
         return consensus_messages.get_node(self._voter.leader)
 
-    def _take_change(
+    def _handle_change(
         self, entry: str, change: changes.Change, now: float
     ) -> list[interface.ControlEffect]:
         voter = self._voter
         if voter and voter.role == "leader" and voter.has_leader(now):
-            self._askers[change.change_id] = entry
-            return self._wrap_votes(voter.propose(change, now), now)
+            self._requesters[change.change_id] = entry
+            return self._convert_voter_effects(voter.propose(change, now), now)
         leader = self._find_leader(now)
         if leader == self._identity.node:
             leader = ""
@@ -346,7 +365,7 @@
             )
         ]
 
-    def _wrap_votes(
+    def _convert_voter_effects(
         self, effects: Iterable[consensus_messages.Effect], now: float
     ) -> list[interface.ControlEffect]:
         wrapped: list[interface.ControlEffect] = []
@@ -358,10 +377,10 @@
                     wrapped.append(effect)
                 case consensus_messages.Apply(configuration):
                     if self._follower.adopt(configuration):
-                        wrapped += self._tell_controls(now)
-                        wrapped += self._tell_entries(now)
+                        wrapped += self._send_update_to_controls(now)
+                        wrapped += self._send_update_to_entries(now)
                 case consensus_messages.Answer(outcome):
-                    wrapped += self._answer(outcome, final=True)
+                    wrapped += self._reply_to_change(outcome, final=True)
                 case consensus_messages.Abandon(change_id):
                     outcome = changes.Outcome(
                         change_id,
@@ -370,19 +389,21 @@
                         reason="leader_lost",
                         detail="the leader lost its majority",
                     )
-                    wrapped += self._answer(outcome, final=False)
+                    wrapped += self._reply_to_change(outcome, final=False)
         return wrapped
 
-    def _answer(
+    def _reply_to_change(
         self, outcome: changes.Outcome, *, final: bool
     ) -> list[interface.ControlEffect]:
-        entry = self._askers.pop(outcome.change_id, None)
+        entry = self._requesters.pop(outcome.change_id, None)
         if entry is None:
             return []
         reply = messages.ChangeReply(outcome, final, lost=not final)
         return [interface.Send(entry, reply)]
 
-    def _tell_controls(self, now: float) -> list[interface.ControlEffect]:
+    def _send_update_to_controls(
+        self, now: float
+    ) -> list[interface.ControlEffect]:
         if self._voter is None or self._voter.role != "leader":
             return []
         update = self._make_update(-1, now)
@@ -392,30 +413,32 @@
             if node != self._identity.node
         ]
 
-    def _tell_entries(self, now: float) -> list[interface.ControlEffect]:
+    def _send_update_to_entries(
+        self, now: float
+    ) -> list[interface.ControlEffect]:
         update = self._make_update(-1, now)
         return [
             interface.Send(entry, update)
             for entry in sorted(self._registry.entries)
         ]
 
-    def _found(
+    def _handle_identity(
         self, reply: messages.IdentityReply, now: float
     ) -> list[interface.ControlEffect]:
-        decision = self._founding.receive(reply)
+        decision = self._bootstrap.receive(reply)
         if decision is None or self._voter is None:
             return []
         effects: list[interface.ControlEffect] = []
         if decision.voters:
             cluster = decision.reply.cluster
-            founded = self._voter.bootstrap(cluster, decision.voters)
-            effects += self._wrap_votes(founded, now)
+            voter_effects = self._voter.bootstrap(cluster, decision.voters)
+            effects += self._convert_voter_effects(voter_effects, now)
         return [*effects, interface.Send(decision.entry, decision.reply)]
 
     # Status.
 
     def get_status(self, now: float) -> status.ControlStatus:
-        """Returns the status of this process and, as holder, of its zone."""
+        """Returns its status, and that of its zone while it holds the lease."""
         is_holder = self._lease.is_held(now)
         return status.ControlStatus(
             node=self._identity.node,
@@ -427,11 +450,11 @@
             is_holder=is_holder,
             fence=self._lease.fencing_number if is_holder else 0,
             members=len(self._registry.members),
-            largest_domain=self._holder.find_largest_domain(),
-            stranded=self._holder.count_stranded() if is_holder else 0,
-            downtime_s=round(self._holder.downtime_s, 3),
-            services=self._holder.services if is_holder else (),
-            groups=self._holder.describe_groups() if is_holder else (),
+            largest_domain=self._zone_controller.find_largest_domain(),
+            stranded=self._zone_controller.count_stranded() if is_holder else 0,
+            downtime_s=round(self._zone_controller.downtime_s, 3),
+            services=self._zone_controller.services if is_holder else (),
+            groups=self._zone_controller.describe_groups() if is_holder else (),
             entries=tuple(
                 status.EntryStatus(name, record.configuration)
                 for name, record in sorted(self._registry.entries.items())
@@ -445,8 +468,8 @@
     return [interface.Send(node, message) for node, message in sent]
 
 
-def _wrap(effects: Iterable) -> list[interface.ControlEffect]:
-    """Returns the effects of the parts as effects of the role."""
+def _convert_effects(effects: Iterable) -> list[interface.ControlEffect]:
+    """Converts effects of the components to effects of the role."""
     return [
         effect
         if isinstance(effect, planner.orders.SendOrder)
--- a/src/hickorylead/roles/coordinator.py
+++ b/src/hickorylead/roles/coordinator.py
@@ -1,7 +1,7 @@
-"""The reducer of a coordinator: a control node that gateways look up to.
+"""The reducer of a coordinator, a control node that gateways connect to.
 
-It votes on the configuration, hears backend servers, forms and repairs their
-groups, and tells gateways what they need.
+It is a voter of the configuration log, receives heartbeats of backend servers,
+forms and repairs their groups, and sends gateways the updates that they need.
 """
 
 from __future__ import annotations
@@ -53,9 +53,9 @@
     from hickorylead.fleet import group_builder as group_builder_module
 
 TICK_S = 0.05
-FORGET_INSTANCE_S = 60.0
-# Changes of backend servers are saved at most this often, in seconds: a save
-# takes a sync, 2 ms on an ordinary disk, during which the loop waits.
+INSTANCE_RETENTION_S = 60.0
+# Shortest period between two saves of backend servers, in seconds: a save takes
+# a sync, 2 ms on an ordinary disk, which blocks the event loop.
 SAVE_PERIOD_S = 1.0
 
 CoordinatorEvent: TypeAlias = (
@@ -96,85 +96,89 @@
         records: Sequence[consensus_messages.Record],
         rng: random.Random,
         now: float,
-        tuning: voter_module.VoterOptions = voter_module.DEFAULT_OPTIONS,
+        voter_options: voter_module.VoterOptions = voter_module.DEFAULT_OPTIONS,
     ) -> None:
-        """Makes a coordinator that has just started.
+        """Initializes a coordinator that has just started.
 
         Args:
-            identity: Who it is.
-            read_document: Reads a whole configuration as operators send it.
-            policy: The trade between downtime and stranded accelerators.
-            records: What its journal holds.
-            rng: Source of the spread of elections.
+            identity: Its identity.
+            read_document: Decodes a complete configuration as operators
+                submit it.
+            policy: Trade-off between downtime and stranded accelerators.
+            records: Records of its journal.
+            rng: Source of the jitter of elections.
             now: Present time.
-            tuning: How fast a lost voter is noticed.
+            voter_options: Options of its voter, such as how soon a lost voter
+                is detected.
         """
         self._identity = identity
         self._zone = nodes.get_zone(identity.node)
         self._read_document = read_document
         self.document: document_module.Document | None = None
         self.registry = registry_module.Registry()
-        self.neighbours = peer_directory_module.PeerDirectory(
+        self.peers = peer_directory_module.PeerDirectory(
             node=identity.node, seeds=identity.seeds
         )
         self.gateways = gateways_module.Gateways(zone=self._zone)
-        self._differences = divergence.DivergenceDetector()
-        # Beside the registry, as a restart recalls both from the disk.
+        self._divergence = divergence.DivergenceDetector()
+        # Public like the registry: a restart restores both from the disk.
         self.crashes = crash_tracker_module.CrashTracker(identity.node)
-        self._saved_crashes = 0
-        self._limits = permit_broker.PermitBroker(
+        self._saved_crash_digest = 0
+        self._permit_broker = permit_broker.PermitBroker(
             identity.node,
             registry=self.registry,
-            neighbours=self.neighbours,
+            neighbours=self.peers,
             gateways=self.gateways,
         )
-        self._notices = pause_relay.PauseRelay(identity.node)
+        self._pause_relay = pause_relay.PauseRelay(identity.node)
         self._supervisor = supervisor_module.Supervisor(
             identity,
             policy=policy,
             start_id=f"{rng.getrandbits(24):x}",
             registry=self.registry,
-            peers=self.neighbours,
+            peers=self.peers,
             has_leader=lambda at: self.voter.has_leader(at),
             now=now,
         )
         self._next_hello = now
-        self._alive: dict[str, int] = {}
-        # News that gateways are told with the next tick, by server.
-        self._untold: dict[str, instances.Instance] = {}
+        self._alive_sequences: dict[str, int] = {}
+        # Changed servers to send to gateways with the next tick, by name.
+        self._unreported: dict[str, instances.Instance] = {}
         self._saved_changes = 0
         self._next_save = now + SAVE_PERIOD_S
-        self.restart_voter(records, rng, now, tuning)
+        self.restart_voter(records, rng, now, voter_options)
 
     def restart_voter(
         self,
         records: Sequence[consensus_messages.Record],
         rng: random.Random,
         now: float,
-        tuning: voter_module.VoterOptions,
+        voter_options: voter_module.VoterOptions,
     ) -> None:
-        """Begins to vote with what the disk holds, after a start or a fault."""
+        """Restores the voter from the disk, after a start or a disk fault."""
         self.voter = voter_module.Voter(
             node=self._identity.node,
             incarnation=self._identity.incarnation,
-            peers=tuple(self.neighbours.known),
+            peers=tuple(self.peers.known),
             rng=rng,
             now=now,
-            options=tuning,
+            options=voter_options,
         )
         self.voter.restore(records)
-        self._whole = configuration_requests.ConfigurationRequests(
-            node=self._identity.node, voter=self.voter
+        self._configuration_requests = (
+            configuration_requests.ConfigurationRequests(
+                node=self._identity.node, voter=self.voter
+            )
         )
-        self._take_document()
+        self._load_document()
 
     @property
     def version(self) -> int:
-        """The operator's version that is held here."""
+        """Operators' version of the configuration that this node holds."""
         return self.document.version if self.document else 0
 
     def is_fresh(self, now: float) -> bool:
-        """Says whether the configuration held is surely a recent one."""
+        """Returns whether the configuration here is certain to be recent."""
         if self.voter.role == "leader":
             return self.voter.is_ready_leader(now)
         return self.voter.is_caught_up and self.voter.has_leader(now)
@@ -182,19 +186,19 @@
     def reduce(
         self, event: CoordinatorEvent, now: float
     ) -> list[CoordinatorEffect]:
-        """Handles one event and returns what is to be done."""
+        """Handles one event and returns the effects to carry out."""
         match event:
             case interface.Tick():
                 return self._tick(now)
             case interface.MessageArrived(sender, message):
                 return self._receive(sender, message, now)
             case events.HeartbeatArrived(instance):
-                return self._hear(instance, now)
+                return self._handle_heartbeat(instance, now)
             case events.InstanceLeft(name, born):
-                return self._end(name, born, now)
+                return self._handle_departure(name, born, now)
             case events.ReplaceRequested(token, version, content):
-                return self._wrap(
-                    self._whole.replace(
+                return self._convert_effects(
+                    self._configuration_requests.replace(
                         token,
                         version=version,
                         content=content,
@@ -204,15 +208,15 @@
                     now,
                 )
             case events.ReadRequested(token):
-                return self._wrap(
-                    self._whole.read(
+                return self._convert_effects(
+                    self._configuration_requests.read(
                         token, requester="", held_version=0, now=now
                     ),
                     now,
                 )
             case orders.OrderAnswered():
                 return [
-                    *self._note_load(event, now),
+                    *self._record_load(event, now),
                     *self._supervisor.handle_response(event),
                 ]
             case orders.ReportArrived():
@@ -222,32 +226,36 @@
                     self._supervisor.pause_calls(
                         name, born, now + retry_after_s
                     )
-                return self._drain(name, born, now) if is_leaving else []
+                return (
+                    self._record_draining(name, born, now) if is_leaving else []
+                )
 
     # Time.
 
     def _tick(self, now: float) -> list[CoordinatorEffect]:
         effects: list[CoordinatorEffect] = []
-        self.voter.set_peers(tuple(self.neighbours.known))
-        effects += self._wrap(self.voter.tick(now), now)
-        effects += self._wrap(self._whole.tick(now), now)
+        self.voter.set_peers(tuple(self.peers.known))
+        effects += self._convert_effects(self.voter.tick(now), now)
+        effects += self._convert_effects(
+            self._configuration_requests.tick(now), now
+        )
         if now >= self._next_hello:
             self._next_hello = now + peer_directory_module.HELLO_PERIOD_S
-            effects += self._greet(now)
-            effects += self._found(now)
+            effects += self._send_hellos(now)
+            effects += self._bootstrap_cluster(now)
         effects += self._supervisor.probe_silent(now)
         effects += self._mark_lost(now)
-        effects += self._tell_gateways(now)
+        effects += self._update_gateways(now)
         effects += self._send_all(
             self.gateways.tick(
                 is_fresh=self.is_fresh(now),
-                homed_elsewhere=self.neighbours.count_gateways(now),
+                homed_elsewhere=self.peers.count_gateways(now),
                 now=now,
             )
         )
-        effects += self._block(now)
-        effects += self._send_all(self._limits.tick(now))
-        effects += self._tell_pauses(now)
+        effects += self._update_blocks(now)
+        effects += self._send_all(self._permit_broker.tick(now))
+        effects += self._send_pauses(now)
         if self._supervisor.is_due(now):
             effects += self._supervisor.plan(now)
         return effects + self._save(now)
@@ -260,8 +268,8 @@
             self._saved_changes = self.registry.changes
             known = tuple(self.registry.list_present())
             effects.append(events.SaveInstances(known))
-        if self.crashes.digest != self._saved_crashes:
-            self._saved_crashes = self.crashes.digest
+        if self.crashes.digest != self._saved_crash_digest:
+            self._saved_crash_digest = self.crashes.digest
             effects.append(
                 events.SaveCrashes(self.crashes.make_full_update(now))
             )
@@ -269,37 +277,41 @@
             self._next_save = now + SAVE_PERIOD_S
         return effects
 
-    # Requests that end servers.
+    # Requests under which servers end.
 
-    def _take_crashes(
-        self, news: crash_messages.CrashNews, now: float
+    def _handle_crash_update(
+        self, update: crash_messages.CrashNews, now: float
     ) -> list[CoordinatorEffect]:
-        # A gateway that has turned here tells before it is heard as one.
-        is_passed = news.sender in self.neighbours.known
-        others = [] if is_passed else self.neighbours.list_alive(now)
-        # Each lost run is told twice, and again to a new home; a server that
-        # answered the first time lives, and was asked for each of them.
-        servers = self.crashes.list_new_servers(news)
-        effects = self._send_all(self.crashes.merge(news, others, now))
+        # A gateway that has just chosen this home coordinator may report before
+        # its hello arrives, so any sender that is no known peer counts as one.
+        is_forwarded = update.sender in self.peers.known
+        others = [] if is_forwarded else self.peers.list_alive(now)
+        # Each lost run is reported twice, and again to a new home. Only the
+        # first report of a run has the server probed: one that replied then is
+        # alive, and a repeated report needs no further probe.
+        servers = self.crashes.list_new_servers(update)
+        effects = self._send_all(self.crashes.merge(update, others, now))
         return [*effects, *self._supervisor.suspect_servers(servers, now)]
 
-    def _block(self, now: float) -> list[CoordinatorEffect]:
-        def has_ended(life: crash_history_module.Incarnation) -> bool:
-            return self.registry.has_ended(life.server, life.born, now)
+    def _update_blocks(self, now: float) -> list[CoordinatorEffect]:
+        def has_ended(incarnation: crash_history_module.Incarnation) -> bool:
+            return self.registry.has_ended(
+                incarnation.server, incarnation.born, now
+            )
 
         sent, written = self.crashes.tick(
             has_ended,
             self.gateways.list_homed(now),
             now,
-            other_home_coordinators=self.neighbours.list_homes(now),
+            other_home_coordinators=self.peers.list_homes(now),
         )
         return [*self._send_all(sent), *written]
 
-    def _greet(self, now: float) -> list[CoordinatorEffect]:
-        self.neighbours.prune(now)
-        self.registry.prune(now, FORGET_INSTANCE_S)
-        self._notices.prune(now)
-        known = self.neighbours.known
+    def _send_hellos(self, now: float) -> list[CoordinatorEffect]:
+        self.peers.prune(now)
+        self.registry.prune(now, INSTANCE_RETENTION_S)
+        self._pause_relay.prune(now)
+        known = self.peers.known
         hello = messages.CoordinatorHello(
             node=self._identity.node,
             address=self._identity.address,
@@ -312,35 +324,36 @@
             has_traffic=self._supervisor.has_traffic,
             crashes=self.crashes.digest,
         )
-        targets = self.neighbours.list_hello_targets()
+        targets = self.peers.list_hello_targets()
         effects: list[CoordinatorEffect] = [
             interface.Send(node, hello)
             for node in targets
             if node != f"@{self._identity.address}"
         ]
-        if self._alive:
+        if self._alive_sequences:
             alive = messages.Alive(
                 self._identity.node,
-                tuple(self._alive),
-                tuple(self._alive.values()),
+                tuple(self._alive_sequences),
+                tuple(self._alive_sequences.values()),
                 tuple(
                     self.registry.changed_sequences.get(n, 0)
-                    for n in self._alive
+                    for n in self._alive_sequences
+                ),
+                tuple(
+                    self.registry.find_born(n) for n in self._alive_sequences
                 ),
-                tuple(self.registry.find_born(n) for n in self._alive),
             )
-            self._alive = {}
+            self._alive_sequences = {}
             effects += [
-                interface.Send(n, alive)
-                for n in self.neighbours.list_alive(now)
+                interface.Send(n, alive) for n in self.peers.list_alive(now)
             ]
         return effects
 
-    def _found(self, now: float) -> list[CoordinatorEffect]:
-        """Starts the configuration log, at the very first start only.
+    def _bootstrap_cluster(self, now: float) -> list[CoordinatorEffect]:
+        """Bootstraps the configuration log, only at the cluster's first start.
 
-        All nodes know the same seeds then. The one with the lowest address
-        waits until it has heard every other one, so that there is one log.
+        All nodes then have the same seeds. The node with the lowest address
+        waits for a hello of every other one, so that only one log is started.
         """
         seeds = self._identity.seeds
         if (
@@ -352,7 +365,7 @@
             return []
         by_address = {
             n.address: n
-            for n in self.neighbours.known.values()
+            for n in self.peers.known.values()
             if n.incarnation and n.is_empty
         }
         others = [by_address.get(s) for s in seeds[:] if s != min(seeds)]
@@ -364,7 +377,7 @@
             f"cluster-{self.voter.member}", tuple(sorted(members))
         )
         return [
-            *self._wrap(effects, now),
+            *self._convert_effects(effects, now),
             notes.note("cluster_founded", voters=members),
         ]
 
@@ -382,47 +395,55 @@
                 | consensus_messages.SnapshotRequest()
                 | consensus_messages.JoinRequest()
             ):
-                effects = self._wrap(self.voter.receive(message, now), now)
+                effects = self._convert_effects(
+                    self.voter.receive(message, now), now
+                )
                 if isinstance(message, consensus_messages.AppendReply):
-                    effects += self._wrap(self._whole.tick(now), now)
+                    effects += self._convert_effects(
+                        self._configuration_requests.tick(now), now
+                    )
                 return effects
             case messages.CoordinatorHello():
-                return self._take_hello(message, now)
-            case messages.InstanceNews(_, news, is_full):
-                if is_full and news:
+                return self._handle_hello(message, now)
+            case messages.InstanceNews(_, received, is_full):
+                if is_full and received:
                     self._supervisor.record_full_sync(now)
-                return self._take_news(news, now)
+                return self._merge_instances(received, now)
             case messages.Alive():
-                return self._take_alive(message, now)
+                return self._handle_alive(message, now)
             case messages.GatewayHello():
-                return self._take_gateway(message, now)
+                return self._handle_gateway_hello(message, now)
             case crash_messages.CrashNews():
-                return self._take_crashes(message, now)
+                return self._handle_crash_update(message, now)
             case notice_messages.PauseNews():
-                return self._take_pauses(message, now)
+                return self._handle_pause_update(message, now)
             case notice_messages.LeaveNews(_, leaves):
                 effects = []
                 for leave in leaves:
-                    effects += self._drain(leave.server, leave.born, now)
+                    effects += self._record_draining(
+                        leave.server, leave.born, now
+                    )
                 return effects
             case limit_messages.LimitNews():
-                return self._send_all(self._limits.merge_limits(message, now))
+                return self._send_all(
+                    self._permit_broker.merge_limits(message, now)
+                )
             case limit_messages.PermitRequest():
                 return self._send_all(
-                    self._limits.handle_request(
+                    self._permit_broker.handle_request(
                         message, sender, is_fresh=self.is_fresh(now), now=now
                     )
                 )
             case limit_messages.PermitReply(gateway):
                 return [interface.Send(gateway, message)]
             case messages.StallNews(sender, heads):
-                effects = self._pass_stalls(message, now)
+                effects = self._forward_stalls(message, now)
                 for head in heads:
                     effects += self._supervisor.suspect_group(head, sender, now)
                 return effects
             case messages.ReplaceRequest(node, token, version, content):
-                return self._wrap(
-                    self._whole.replace(
+                return self._convert_effects(
+                    self._configuration_requests.replace(
                         token,
                         version=version,
                         content=content,
@@ -432,59 +453,61 @@
                     now,
                 )
             case messages.ReadRequest(node, token, version):
-                return self._wrap(
-                    self._whole.read(
+                return self._convert_effects(
+                    self._configuration_requests.read(
                         token, requester=node, held_version=version, now=now
                     ),
                     now,
                 )
             case messages.ReplaceReply() | messages.ReadReply():
-                return self._wrap(self._whole.receive(message, now), now)
+                return self._convert_effects(
+                    self._configuration_requests.receive(message, now), now
+                )
             case _:
                 return []
 
-    def _take_pauses(
-        self, news: notice_messages.PauseNews, now: float
+    def _handle_pause_update(
+        self, update: notice_messages.PauseNews, now: float
     ) -> list[CoordinatorEffect]:
-        is_passed = news.sender in self.neighbours.known
-        self._notices.merge(news, is_forwarded=is_passed, now=now)
-        return self._tell_pauses(now)
+        is_forwarded = update.sender in self.peers.known
+        self._pause_relay.merge(update, is_forwarded=is_forwarded, now=now)
+        return self._send_pauses(now)
 
-    def _tell_pauses(self, now: float) -> list[CoordinatorEffect]:
+    def _send_pauses(self, now: float) -> list[CoordinatorEffect]:
         return self._send_all(
-            self._notices.collect_messages(
+            self._pause_relay.collect_messages(
                 gateways=self.gateways.list_homed(now),
-                coordinators=self.neighbours.list_alive(now),
+                coordinators=self.peers.list_alive(now),
                 now=now,
             )
         )
 
-    def _take_alive(
+    def _handle_alive(
         self, alive: messages.Alive, now: float
     ) -> list[CoordinatorEffect]:
-        revived = []
+        recovered = []
         for name, sequence, since, born in zip(
             alive.names, alive.sequences, alive.since, alive.born, strict=False
         ):
             if self.registry.touch(name, sequence, since, now, born=born):
-                revived.append(self.registry.instances[name])
+                recovered.append(self.registry.instances[name])
             if self.registry.find_born(name) == born:
                 self._supervisor.clear_suspicion(name)
-        if not revived:
+        if not recovered:
             return []
-        self._note_untold(revived)
+        self._add_unreported(recovered)
         return [*self._supervisor.plan_soon(now)]
 
-    def _take_hello(
+    def _handle_hello(
         self, hello: messages.CoordinatorHello, now: float
     ) -> list[CoordinatorEffect]:
-        is_new = hello.node not in self.neighbours.list_alive(now)
-        differs = self._differences.needs_full_sync(
+        is_new = hello.node not in self.peers.list_alive(now)
+        differs = self._divergence.needs_full_sync(
             hello.node, hello.check, self.registry.digest, now
         )
-        self.neighbours.handle_hello(hello, now)
+        self.peers.handle_hello(hello, now)
         if hello.has_traffic:
-            # Only homes hear of requests from gateways.
+            # Only home coordinators learn of requests from gateways.
             self._supervisor.record_traffic()
         effects = self._send_all(
             self.crashes.sync_coordinator(
@@ -493,14 +516,14 @@
         )
         if not is_new and not differs:
             return effects
-        news = messages.InstanceNews(
+        update = messages.InstanceNews(
             self._identity.node,
             tuple(self.registry.instances.values()),
             is_full=self._supervisor.has_full_view(now),
         )
-        return [*effects, interface.Send(hello.node, news)]
+        return [*effects, interface.Send(hello.node, update)]
 
-    def _take_gateway(
+    def _handle_gateway_hello(
         self, hello: messages.GatewayHello, now: float
     ) -> list[CoordinatorEffect]:
         if hello.loads:
@@ -513,10 +536,10 @@
         )
         if is_new:
             effects += self._send_all(
-                self._limits.make_initial_update(hello.node, now)
+                self._permit_broker.make_initial_update(hello.node, now)
             )
             effects += self._send_all(
-                self._notices.make_initial_update(hello.node, now)
+                self._pause_relay.make_initial_update(hello.node, now)
             )
         effects += self._send_all(
             self.gateways.handle_hello(
@@ -524,10 +547,10 @@
                 registry=self.registry,
                 known=messages.KnownCoordinators(
                     self._identity.node,
-                    (self._identity.node, *self.neighbours.known),
+                    (self._identity.node, *self.peers.known),
                     (
                         self._identity.address,
-                        *(n.address for n in self.neighbours.known.values()),
+                        *(n.address for n in self.peers.known.values()),
                     ),
                     self.is_fresh(now),
                 ),
@@ -537,9 +560,9 @@
         )
         for name in hello.stalled:
             effects += self._supervisor.suspect_group(name, hello.node, now)
-        for flow in hello.flowing:
+        for progress in hello.flowing:
             self._supervisor.record_output(
-                flow.name, now - flow.age_ms / 1000.0
+                progress.name, now - progress.age_ms / 1000.0
             )
         if self.gateways.needs_document(hello.node, self.version, now):
             effects.append(interface.Send(hello.node, self._make_update(now)))
@@ -556,27 +579,28 @@
 
     # Backend servers.
 
-    def _hear(
+    def _handle_heartbeat(
         self, instance: instances.Instance, now: float
     ) -> list[CoordinatorEffect]:
         known = self.registry.instances.get(instance.name)
         if known is not None and instance.born < known.born:
-            # A heartbeat of a former life, held up on its way, says nothing
-            # about whether the present one lives.
+            # A delayed heartbeat of a previous incarnation does not show that
+            # the present one is alive.
             return []
         self._supervisor.clear_suspicion(instance.name)
         if not self.registry.merge(instance, now):
-            self._alive[instance.name] = instance.sequence
+            self._alive_sequences[instance.name] = instance.sequence
             return []
-        return self._spread([instance], known, now)
+        return self._send_changes([instance], known, now)
 
-    def _note_load(
+    def _record_load(
         self, answered: orders.OrderAnswered, now: float
     ) -> list[CoordinatorEffect]:
-        """Tells all nodes that a server loads a model; it does not tell so.
+        """Records and sends to all nodes that a server loads a model.
 
-        A planner that restarts, or takes over from another one, would start
-        more loads than the store serves at full speed.
+        The server's heartbeats do not report it. Without this a planner that
+        restarts, or takes over from another one, would start more loads than
+        the model store serves at full speed.
         """
         known = self.registry.instances.get(answered.name)
         if (
@@ -585,28 +609,30 @@
             or not isinstance(answered.order, orders.Stage)
         ):
             return []
-        news = attrs.evolve(known, loading=answered.order.model)
-        if not self.registry.merge(news, now):
+        update = attrs.evolve(known, loading=answered.order.model)
+        if not self.registry.merge(update, now):
             return []
-        return self._spread([news], known, now)
+        return self._send_changes([update], known, now)
 
-    def _end(self, name: str, born: int, now: float) -> list[CoordinatorEffect]:
+    def _handle_departure(
+        self, name: str, born: int, now: float
+    ) -> list[CoordinatorEffect]:
         known = self.registry.instances.get(name)
         if known is None or known.phase == instances.PHASE_GONE:
             return []
         if born and born < known.born:
-            # A former life under this id ended; the news of it came late.
+            # Delayed report that a previous incarnation of the server ended.
             return []
         gone = attrs.evolve(known, phase=instances.PHASE_GONE)
         self.registry.merge(gone, now)
-        return self._spread([gone], known, now)
+        return self._send_changes([gone], known, now)
 
-    def _drain(
+    def _record_draining(
         self, name: str, born: int, now: float
     ) -> list[CoordinatorEffect]:
-        """Takes that a server said with an answer that it leaves.
+        """Records that a server reported in a response that it is leaving.
 
-        Its heartbeats may not tell so, or not come here.
+        Its heartbeats may not report this, or not arrive here.
         """
         known = self.registry.instances.get(name)
         if (
@@ -615,97 +641,100 @@
             or known.born != born
         ):
             return []
-        news = attrs.evolve(known, phase=instances.PHASE_DRAINING)
-        if not self.registry.merge(news, now):
+        update = attrs.evolve(known, phase=instances.PHASE_DRAINING)
+        if not self.registry.merge(update, now):
             return []
-        return self._spread([news], known, now)
+        return self._send_changes([update], known, now)
 
-    def _spread(
+    def _send_changes(
         self,
         changed: list[instances.Instance],
         known: instances.Instance | None,
         now: float,
     ) -> list[CoordinatorEffect]:
-        """Tells all nodes what was heard here first.
+        """Sends changes that this node received first to all nodes.
 
-        Other coordinators tell the gateways that have them as home; to tell
-        those from here as well doubled what each gateway gets.
+        Other coordinators forward them to the gateways that have them as home
+        coordinator. Sending to those gateways from here as well would double
+        the updates that each gateway receives.
         """
-        news = messages.InstanceNews(self._identity.node, tuple(changed))
+        update = messages.InstanceNews(self._identity.node, tuple(changed))
         effects: list[CoordinatorEffect] = [
-            interface.Send(node, news)
-            for node in self.neighbours.list_alive(now)
+            interface.Send(node, update) for node in self.peers.list_alive(now)
         ]
         for instance in changed:
             effects.append(descriptions.describe_change(instance, known))
-        self._note_untold(changed)
+        self._add_unreported(changed)
         if any(instances.is_urgent(i, known) for i in changed):
-            effects += self._tell_gateways(now)
+            effects += self._update_gateways(now)
         return effects + self._supervisor.plan_soon(now)
 
-    def _note_untold(self, changed: Iterable[instances.Instance]) -> None:
-        """Keeps what gateways are to be told, as it is known here.
+    def _add_unreported(self, changed: Iterable[instances.Instance]) -> None:
+        """Queues servers for the next update of the gateways.
 
-        A server that joined and left a group between two ticks has the model
-        of that group; what it told last does not say so.
+        The state is that of the registry: a server that joined and left a
+        group between two ticks still has that group's model, which its last
+        heartbeat does not report.
         """
         for instance in changed:
             known = self.registry.instances[instance.name]
-            self._untold[known.name] = known
+            self._unreported[known.name] = known
 
-    def _tell_gateways(self, now: float) -> list[CoordinatorEffect]:
-        """Tells the gateways of this home what is new."""
-        if not self._untold:
+    def _update_gateways(self, now: float) -> list[CoordinatorEffect]:
+        """Sends queued changes to the gateways with this home coordinator."""
+        if not self._unreported:
             return []
         update = messages.InstanceNews(
-            self._identity.node, tuple(self._untold.values())
+            self._identity.node, tuple(self._unreported.values())
         )
-        self._untold = {}
+        self._unreported = {}
         return [
             interface.Send(n, update) for n in self.gateways.list_homed(now)
         ]
 
-    def _take_news(
-        self, news: Sequence[instances.Instance], now: float
+    def _merge_instances(
+        self, received: Sequence[instances.Instance], now: float
     ) -> list[CoordinatorEffect]:
         before = {
-            item.name: self.registry.instances.get(item.name) for item in news
+            item.name: self.registry.instances.get(item.name)
+            for item in received
         }
-        changed = registry_module.merge_all(self.registry, news, now)
+        changed = registry_module.merge_all(self.registry, received, now)
         if not changed:
             return []
         for instance in changed:
             if not instance.silent:
                 self._supervisor.clear_suspicion(instance.name)
-        self._note_untold(changed)
+        self._add_unreported(changed)
         effects: list[CoordinatorEffect] = []
         if any(instances.is_urgent(i, before[i.name]) for i in changed):
-            effects += self._tell_gateways(now)
+            effects += self._update_gateways(now)
         return effects + self._supervisor.plan_soon(now)
 
-    def _pass_stalls(
-        self, news: messages.StallNews, now: float
+    def _forward_stalls(
+        self, update: messages.StallNews, now: float
     ) -> list[CoordinatorEffect]:
-        """Tells the other gateways what one of them saw first."""
+        """Forwards stalls that one gateway observed to the other gateways."""
         own = self.gateways.list_homed(now)
-        targets = [node for node in own if node != news.sender]
-        if news.sender in own:
-            # From a gateway of ours; the other zones have not heard it.
-            targets += self.neighbours.list_alive(now)
-        passed = messages.StallNews(self._identity.node, news.heads)
-        return [interface.Send(node, passed) for node in targets]
+        targets = [node for node in own if node != update.sender]
+        if update.sender in own:
+            # From a gateway with this home coordinator: the other
+            # coordinators have not received it.
+            targets += self.peers.list_alive(now)
+        forwarded = messages.StallNews(self._identity.node, update.heads)
+        return [interface.Send(node, forwarded) for node in targets]
 
     def _mark_lost(self, now: float) -> list[CoordinatorEffect]:
         effects: list[CoordinatorEffect] = []
         for instance in self._supervisor.list_newly_lost(now):
             silent = attrs.evolve(instance, silent=True)
             if self.registry.merge(silent, now):
-                effects += self._spread([silent], instance, now)
+                effects += self._send_changes([silent], instance, now)
         return effects
 
     # The configuration.
 
-    def _wrap(
+    def _convert_effects(
         self, effects: Iterable[configuration_requests.Effect], now: float
     ) -> list[CoordinatorEffect]:
         wrapped: list[CoordinatorEffect] = []
@@ -716,20 +745,23 @@
                 case configuration_requests.SendTo(node, message):
                     wrapped.append(interface.Send(node, message))
                 case consensus_messages.Answer(outcome):
-                    wrapped += self._wrap(
-                        self._whole.handle_committed(outcome.change_id), now
+                    wrapped += self._convert_effects(
+                        self._configuration_requests.handle_committed(
+                            outcome.change_id
+                        ),
+                        now,
                     )
                 case consensus_messages.Abandon(change_id):
-                    self._whole.handle_abandoned(change_id)
+                    self._configuration_requests.handle_abandoned(change_id)
                 case consensus_messages.Apply():
-                    wrapped += self._apply(now)
+                    wrapped += self._apply_configuration(now)
                 case _:
                     wrapped.append(effect)
         return wrapped
 
-    def _apply(self, now: float) -> list[CoordinatorEffect]:
+    def _apply_configuration(self, now: float) -> list[CoordinatorEffect]:
         before = self.version
-        problem = self._take_document()
+        problem = self._load_document()
         if problem:
             return [
                 notes.note(
@@ -754,16 +786,21 @@
         )
         return effects + self._supervisor.plan(now)
 
-    def _take_document(self) -> str:
-        """Reads the configuration that the voter holds; returns a problem."""
+    def _load_document(self) -> str:
+        """Loads the configuration that the voter holds.
+
+        Returns:
+            Why it could not be decoded; empty if it was, or is not newer.
+        """
         held = self.voter.configuration
         if not held.content or held.outside_version <= self.version:
-            # A voter that begins anew may hold less than was known here.
+            # A voter that restarted without its log may hold an older version
+            # than this node.
             return ""
         match self._read_document(held.content):
-            case result.Success(found):
-                self.document = found
-                self._supervisor.services = found.services
+            case result.Success(document):
+                self.document = document
+                self._supervisor.services = document.services
                 return ""
             case result.Failure(problem):
                 return str(problem)
--- a/src/hickorylead/roles/entry.py
+++ b/src/hickorylead/roles/entry.py
@@ -1,7 +1,7 @@
 """The reducer of an entry.
 
-It hears backend servers, follows the configuration and the replica table,
-serves callers' requests, and speaks with operators.
+It receives announcements of backend servers, follows the configuration and
+the replica table, and serves the requests of callers and operators.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
     from collections.abc import Iterable
     import random
 
-REMOTE_SILENCE_S = 10.0
+REMOTE_TABLE_TIMEOUT_S = 10.0
 REFRESH_PERIOD_S = 1.0
-HOLDER_SILENCE_S = 2.5
+HOLDER_TIMEOUT_S = 2.5
 
 _ToSend: TypeAlias = (
     claim_messages.Send
@@ -52,11 +52,11 @@
 
 @attrs.frozen
 class Identity:
-    """Who an entry is.
+    """Identity of an entry.
 
     Attributes:
-        node: Its name.
-        control_nodes: All control processes of all zones, by the settings.
+        node: Its node name.
+        control_nodes: All control processes of all zones, from the settings.
     """
 
     node: str
@@ -67,11 +67,11 @@
     """State of one entry."""
 
     def __init__(self, identity: Identity, *, rng: random.Random) -> None:
-        """Makes an entry that has just started.
+        """Initializes an entry that has just started.
 
         Args:
-            identity: Who it is.
-            rng: Source of the draws of replicas.
+            identity: Its identity.
+            rng: Source of the random choice among replicas.
         """
         self._zone = nodes.get_zone(identity.node)
         self._node = identity.node
@@ -80,25 +80,28 @@
         self._follower = follower_module.Follower(
             node=identity.node, controls=self._zone_controls
         )
-        self._listener = announcement_receiver.AnnouncementReceiver(
-            entry=identity.node, controls=self._zone_controls
+        self._announcement_receiver = (
+            announcement_receiver.AnnouncementReceiver(
+                entry=identity.node, controls=self._zone_controls
+            )
         )
         self._table = table_module.ReplicaTable()
-        self._book = health.HealthTracker()
-        # An entry finds out itself which replicas ended, from the table of all
-        # zones. So it is its own home; control processes join what all found.
+        self._health = health.HealthTracker()
+        # An entry detects itself which replicas ended, from the tables of all
+        # zones, so it acts as its own home coordinator. Control processes
+        # merge what all entries detected.
         self._guard = crash_guard_module.CrashGuard(identity.node)
         self._crashes = crash_tracker_module.CrashTracker(identity.node)
-        self._told_crashes: set[crash_history_module.RunKey] = set()
-        self._seen_crashes = 0
-        self._next_retell = 0.0
+        self._reported_crashes: set[crash_history_module.RunKey] = set()
+        self._reported_digest = 0
+        self._next_resend = 0.0
         self._dispatcher = dispatcher_module.Dispatcher(
             entry=identity.node,
             controls=by_zone,
             table=self._table,
-            book=self._book,
+            book=self._health,
             policy=policy_module.LoadBalancingPolicy(
-                zone=self._zone, table=self._table, book=self._book, rng=rng
+                zone=self._zone, table=self._table, book=self._health, rng=rng
             ),
             guard=self._guard,
         )
@@ -106,9 +109,9 @@
             node=identity.node,
             controls=identity.control_nodes,
             follower=self._follower,
-            trails=self._dispatcher.trails,
+            histories=self._dispatcher.trails,
         )
-        # The control process that the replica table comes from.
+        # The control process that sent the last replica table of this zone.
         self._holder = ""
         self._next_refresh = 0.0
         self._stopping = False
@@ -116,24 +119,25 @@
 
     @property
     def configuration(self) -> config_messages.model.Configuration:
-        """The configuration that this entry follows."""
+        """The configuration in force at this entry."""
         return self._follower.configuration
 
     @property
     def dispatcher(self) -> dispatcher_module.Dispatcher:
-        """The requests of this entry."""
+        """Dispatcher of the requests of this entry."""
         return self._dispatcher
 
     @property
     def table(self) -> table_module.ReplicaTable:
-        """The replicas that this entry may use."""
+        """Replicas that this entry may use."""
         return self._table
 
     def is_ready(self) -> bool:
-        """Says whether callers may be sent here.
+        """Returns whether callers may be sent to this entry.
 
-        Without a configuration that is surely the one in force, or without
-        the replicas of its zone, an entry would refuse what others serve.
+        Until it has a configuration that is certain to be in force and the
+        complete replica table of its zone, an entry would refuse requests
+        that other entries serve.
         """
         zone = self._table.zones.get(self._zone)
         return (
@@ -147,7 +151,7 @@
     def reduce(
         self, event: interface.EntryEvent, now: float
     ) -> list[interface.EntryEffect]:
-        """Handles one event and returns what is to be done."""
+        """Handles one event and returns the effects to carry out."""
         match event:
             case (
                 events.RequestArrived()
@@ -156,7 +160,7 @@
                 | events.AnswerArrived()
                 | events.AttemptFailed()
             ):
-                effects = _wrap(
+                effects = _convert_effects(
                     self._dispatcher.handle(event, self.configuration, now)
                 )
                 return effects + self._check_stopped()
@@ -165,25 +169,29 @@
             case interface.MessageArrived(sender, message):
                 return self._receive(sender, message, now)
             case interface.AnnouncementArrived(announcement):
-                return _wrap(self._listener.receive(announcement, now))
+                return _convert_effects(
+                    self._announcement_receiver.receive(announcement, now)
+                )
             case interface.ChangeSubmitted(change):
                 return self._operations.submit(change, now)
             case interface.StatusRequested(token):
-                return self._operations.ask_status(token, now)
+                return self._operations.request_status(token, now)
             case interface.ExplainRequested(token, request_id):
-                return self._operations.ask_explain(token, request_id, now)
+                return self._operations.request_explanation(
+                    token, request_id, now
+                )
             case interface.BootstrapRequested(cluster):
-                return self._operations.ask_founding(cluster, now)
+                return self._operations.request_bootstrap(cluster, now)
             case interface.StopRequested():
                 self._stopping = True
                 self._dispatcher.draining = True
                 return self._check_stopped()
 
     def _tick(self, now: float) -> list[interface.EntryEffect]:
-        effects = _wrap(self._follower.poll(now))
+        effects = _convert_effects(self._follower.poll(now))
         own = self._table.zones.get(self._zone)
-        effects += _wrap(
-            self._listener.tick(
+        effects += _convert_effects(
+            self._announcement_receiver.tick(
                 now,
                 configuration=self._follower.version,
                 fence=own.fence if own else 0,
@@ -193,86 +201,86 @@
         if now >= self._next_refresh:
             self._next_refresh = now + REFRESH_PERIOD_S
             effects += self._refresh(now)
-        effects += self._block(now)
-        effects += _wrap(self._dispatcher.tick(now))
+        effects += self._update_blocks(now)
+        effects += _convert_effects(self._dispatcher.tick(now))
         effects += self._operations.tick(now)
         return effects + self._check_stopped()
 
-    def _block(self, now: float) -> list[interface.EntryEffect]:
-        """Finds the requests under which too many replicas ended."""
+    def _update_blocks(self, now: float) -> list[interface.EntryEffect]:
+        """Updates which requests are blocked as too many replicas ended."""
         effects: list[interface.EntryEffect] = []
-        for _, news in self._guard.collect_messages(self._node, now):
-            self._crashes.merge(news, (), now)
-            if news.clearances:
-                cleared = attrs.evolve(news, crashes=())
-                effects += self._tell_controls(cleared)
+        for _, update in self._guard.collect_messages(self._node, now):
+            self._crashes.merge(update, (), now)
+            if update.clearances:
+                cleared = attrs.evolve(update, crashes=())
+                effects += self._send_to_controls(cleared)
 
-        def has_ended(life: crash_history_module.Incarnation) -> bool:
-            return self._table.was_removed(life.server)
+        def has_ended(incarnation: crash_history_module.Incarnation) -> bool:
+            return self._table.was_removed(incarnation.server)
 
         sent, written = self._crashes.tick(has_ended, (self._node,), now)
-        for _, told in sent:
-            if isinstance(told, crash_messages.BlockNews):
-                self._guard.apply_blocks(told, now)
-        return [*effects, *written, *self._tell_crashes(now)]
+        for _, message in sent:
+            if isinstance(message, crash_messages.BlockNews):
+                self._guard.apply_blocks(message, now)
+        return [*effects, *written, *self._report_crashes(now)]
 
-    def _tell_crashes(self, now: float) -> list[interface.EntryEffect]:
-        """Tells which requests ended replicas, at once and some again later.
+    def _report_crashes(self, now: float) -> list[interface.EntryEffect]:
+        """Reports under which requests replicas ended, at once and repeatedly.
 
-        Control processes keep it in memory only; one that restarts has back
-        what is blocked with the next time.
+        Control processes keep these reports in memory only. Repeated evidence
+        lets one that restarted block the same requests again.
         """
         effects: list[interface.EntryEffect] = []
-        if self._crashes.digest != self._seen_crashes:
-            self._seen_crashes = self._crashes.digest
-            effects += self._tell_controls(self._find_untold(now))
-        if now >= self._next_retell:
-            self._next_retell = now + crash_tracker_module.RETELL_PERIOD_S
-            effects += self._tell_controls(
+        if self._crashes.digest != self._reported_digest:
+            self._reported_digest = self._crashes.digest
+            effects += self._send_to_controls(self._find_unreported(now))
+        if now >= self._next_resend:
+            self._next_resend = now + crash_tracker_module.RETELL_PERIOD_S
+            effects += self._send_to_controls(
                 self._crashes.make_evidence_update(now)
             )
         return effects
 
-    def _find_untold(self, now: float) -> crash_messages.CrashNews:
-        """Returns the ended runs that no control process was told yet."""
-        news = self._crashes.make_full_update(now)
+    def _find_unreported(self, now: float) -> crash_messages.CrashNews:
+        """Returns the ended runs not yet reported to control processes."""
+        update = self._crashes.make_full_update(now)
         ended = {
             crash_history_module.RunKey(c.content, c.server, c.born): c
-            for c in news.crashes
+            for c in update.crashes
             if c.has_ended
         }
-        untold = ended.keys() - self._told_crashes
-        self._told_crashes = set(ended)
+        unreported = ended.keys() - self._reported_crashes
+        self._reported_crashes = set(ended)
         return crash_messages.CrashNews(
-            self._node, tuple(ended[run] for run in sorted(untold))
+            self._node, tuple(ended[run] for run in sorted(unreported))
         )
 
-    def _tell_controls(
-        self, news: crash_messages.CrashNews
+    def _send_to_controls(
+        self, update: crash_messages.CrashNews
     ) -> list[interface.EntryEffect]:
-        if not news.crashes and not news.clearances:
+        if not update.crashes and not update.clearances:
             return []
-        return [interface.Send(node, news) for node in self._zone_controls]
+        return [interface.Send(node, update) for node in self._zone_controls]
 
     def _refresh(self, now: float) -> list[interface.EntryEffect]:
         for zone, known in list(self._table.zones.items()):
             if (
                 zone != self._zone
-                and now - known.last_update_at > REMOTE_SILENCE_S
+                and now - known.last_update_at > REMOTE_TABLE_TIMEOUT_S
             ):
                 self._table.remove_zone(zone)
-        self._book.refresh(
+        self._health.refresh(
             group for z in self._table.zones.values() for group in z.replicas
         )
         own = self._table.zones.get(self._zone)
-        if own is None or now - own.last_update_at > HOLDER_SILENCE_S:
-            # Another process may hold the lease now: tell all of them.
+        if own is None or now - own.last_update_at > HOLDER_TIMEOUT_S:
+            # Another process may hold the lease now: send to all of them.
             self._holder = ""
         if own is None or not own.complete:
-            return self._ask_table(self._zone)
+            return self._request_table(self._zone)
         return []
 
-    def _ask_table(self, zone: str) -> list[interface.EntryEffect]:
+    def _request_table(self, zone: str) -> list[interface.EntryEffect]:
         request = routing_messages.TableRequest(self._node, zone)
         return [interface.Send(node, request) for node in self._zone_controls]
 
@@ -285,15 +293,21 @@
                     self._holder = sender
                 effects: list[interface.EntryEffect] = []
                 if self._table.apply_update(message, now):
-                    effects += self._ask_table(zone)
-                return effects + _wrap(self._dispatcher.dispatch_all(now))
+                    effects += self._request_table(zone)
+                return effects + _convert_effects(
+                    self._dispatcher.dispatch_all(now)
+                )
             case routing_messages.Withdrawal():
                 self._table.withdraw(message)
                 return []
             case claim_messages.ClaimReply():
-                return _wrap(self._dispatcher.receive_claim(message, now))
+                return _convert_effects(
+                    self._dispatcher.receive_claim(message, now)
+                )
             case member_messages.ResendRequest():
-                return _wrap(self._listener.resend(sender))
+                return _convert_effects(
+                    self._announcement_receiver.resend(sender)
+                )
             case crash_messages.BlockNews():
                 self._guard.apply_blocks(message, now)
                 return []
@@ -301,22 +315,24 @@
                 self._follower.receive(message, now)
                 return []
             case config_messages.ChangeReply():
-                return self._operations.receive_reply(sender, message, now)
+                return self._operations.handle_change_reply(
+                    sender, message, now
+                )
             case config_messages.IdentityReply():
-                return self._operations.receive_identity(message)
+                return self._operations.handle_identity(message)
             case config_messages.FoundReply():
-                return self._operations.receive_founding(message)
+                return self._operations.handle_bootstrap_reply(message)
             case status.StatusReply():
-                return self._operations.receive_status(message, now)
-            case status.ExplainRequest(asker, token, request_id):
+                return self._operations.handle_status(message, now)
+            case status.ExplainRequest(requester, token, request_id):
                 reply = self._operations.explain(token, request_id)
                 return [
-                    interface.Send(sender, attrs.evolve(reply, asker=asker))
+                    interface.Send(sender, attrs.evolve(reply, asker=requester))
                 ]
             case status.ExplainReply():
-                return self._operations.receive_explain(message)
+                return self._operations.handle_explanation(message)
             case _:
-                # Meant for a control process; a wrong address in settings.
+                # For a control process: a wrong address in the settings.
                 return []
 
     def _check_stopped(self) -> list[interface.EntryEffect]:
@@ -330,10 +346,10 @@
         return []
 
 
-def _wrap(
+def _convert_effects(
     effects: Iterable[_ToSend | events.Effect],
 ) -> list[interface.EntryEffect]:
-    """Returns the effects of the parts as effects of the role."""
+    """Converts effects of the components to effects of the role."""
     return [
         interface.Send(effect.node, effect.message)
         if isinstance(effect, _ToSend)
--- a/src/hickorylead/roles/interface.py
+++ b/src/hickorylead/roles/interface.py
@@ -1,10 +1,9 @@
-"""The seam between the reducers and whatever runs them.
+"""The interface between the reducers and the processes that run them.
 
-A role is `reduce(event, now) -> effects`. Nothing below this seam reads a
-clock, a socket, a disk or unseeded random numbers, so that hundreds of nodes
-can be built inside one process with time and the network given from outside.
-Effects are to be carried out in their order; `Persist` must be on disk before
-the next one.
+A role is `reduce(event, now) -> effects`. No reducer reads a clock, a socket,
+a disk or unseeded random numbers, so a simulation can run hundreds of nodes in
+one process and control their time and network. Effects must be carried out in
+order; `Persist` must be on disk before the next effect.
 """
 
 from __future__ import annotations
@@ -13,8 +12,8 @@
 
 import attrs
 
-# A process loads the messages of its own roles only, when it first meets them:
-# all of them take a sixth of the time that a gateway needs to start.
+# A process imports only the messages of its own roles, on first use: importing
+# all of them takes a sixth of the start time of a gateway.
 if TYPE_CHECKING:
     from hickorylead import notes
     from hickorylead.claims import messages as claim_messages
@@ -51,7 +50,7 @@
 
 @attrs.frozen
 class Tick:
-    """Event: time has passed; to be given about every TICK_S.
+    """Event: time has passed; delivered about every TICK_S.
 
     Attributes:
         wall_time: Wall-clock time, in Unix seconds.
@@ -65,10 +64,10 @@
 
 @attrs.frozen
 class MessageArrived:
-    """Event: a message of another process of the system.
+    """Event: a message of another process arrived.
 
     Attributes:
-        sender: Its node name.
+        sender: Node name of that process.
         message: The message.
         wall_time: Wall-clock time, in Unix seconds.
     """
@@ -94,14 +93,14 @@
 
 @attrs.frozen
 class StatusRequested:
-    """Event: an operator asked this entry for the status."""
+    """Event: an operator requested the status from this entry."""
 
     token: str
 
 
 @attrs.frozen
 class ExplainRequested:
-    """Event: an operator asked this entry about a request."""
+    """Event: an operator requested the history of a request."""
 
     token: str
     request_id: str
@@ -109,14 +108,14 @@
 
 @attrs.frozen
 class BootstrapRequested:
-    """Event: an operator asked this entry to start a cluster."""
+    """Event: an operator requested this entry to bootstrap a cluster."""
 
     cluster: str
 
 
 @attrs.frozen
 class StopRequested:
-    """Event: this process is asked to stop gracefully."""
+    """Event: this process is to stop gracefully."""
 
 
 EntryEvent: TypeAlias = (
@@ -135,7 +134,7 @@
 
 @attrs.frozen
 class Send:
-    """Effect: send a message to a node; it may be lost."""
+    """Effect: send a message to a node; the message may be lost."""
 
     node: str
     message: Message
@@ -143,12 +142,13 @@
 
 @attrs.frozen
 class AnswerChange:
-    """Effect: answer an operator's change.
+    """Effect: respond to an operator's change.
 
     Attributes:
         change_id: The change.
-        outcome: The answer; None if there is none.
-        may_apply: Whether it may still take effect, if there is no answer.
+        outcome: Its outcome; None if it is unknown.
+        may_apply: Whether the change may still take effect if its outcome is
+            unknown.
     """
 
     change_id: str
@@ -158,7 +158,7 @@
 
 @attrs.frozen
 class AnswerStatus:
-    """Effect: answer an operator's question for the status."""
+    """Effect: respond to an operator's status request."""
 
     token: str
     statuses: tuple[status.ControlStatus, ...]
@@ -166,7 +166,7 @@
 
 @attrs.frozen
 class AnswerExplain:
-    """Effect: answer an operator's question about a request."""
+    """Effect: respond to an operator's request to explain a request."""
 
     token: str
     reply: status.ExplainReply
@@ -174,7 +174,7 @@
 
 @attrs.frozen
 class AnswerBootstrap:
-    """Effect: answer an operator's request to start a cluster."""
+    """Effect: respond to an operator's request to bootstrap a cluster."""
 
     cluster: str
     done: bool
@@ -183,7 +183,7 @@
 
 @attrs.frozen
 class Stopped:
-    """Effect: everything in flight has ended; the process may leave."""
+    """Effect: no request is in flight any more; the process may exit."""
 
 
 EntryEffect: TypeAlias = (
--- a/src/hickorylead/roles/nodes.py
+++ b/src/hickorylead/roles/nodes.py
@@ -1,4 +1,4 @@
-"""Names of processes: `zone/vm/role`."""
+"""Node names of processes: `zone/vm/role`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_node_name(zone: str, vm: str, role: str) -> str:
-    """Returns the name of a process."""
+    """Returns the node name of a process."""
     return f"{zone}/{vm}/{role}"
 
 
@@ -32,13 +32,13 @@
 
 
 def make_request_id(entry: str, boot: int, count: int) -> str:
-    """Returns a request id, which tells which entry took the request."""
+    """Returns a request ID that contains the node name of its entry."""
     zone, vm, _ = entry.split("/")
     return f"{zone}.{vm}.{boot:x}-{count:x}"
 
 
 def parse_entry_node(request_id: str) -> str | None:
-    """Returns the entry that took a request, by its id."""
+    """Returns the entry that accepted a request, from the request ID."""
     parts = request_id.split(".")
     if len(parts) != 3 or not all(parts):
         return None
--- a/src/hickorylead/roles/operations.py
+++ b/src/hickorylead/roles/operations.py
@@ -1,4 +1,4 @@
-"""Operators' changes and questions at an entry, as a reducer."""
+"""Reducer of operators' changes and queries at an entry."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 RESEND_PERIOD_S = 1.0
 CHANGE_TIMEOUT_S = 6.0
-# A change that no process could take, because none knows a leader, is refused
-# after this: an election of a new leader takes about as long.
+# A change that no process could accept for lack of a known leader is refused
+# after this time: an election of a new leader takes about as long.
 NO_LEADER_TIMEOUT_S = 5.0
 STATUS_TIMEOUT_S = 1.0
-FOUNDING_TIMEOUT_S = 5.0
+BOOTSTRAP_TIMEOUT_S = 5.0
 
 
 @attrs.define
-class _Change:
+class _PendingChange:
     change: changes.Change
     since: float
     next_send: float
-    checked: bool
+    is_validated: bool
     lost: bool = False
     target: str = ""
     unanswered: collections.Counter[str] = attrs.field(
@@ -43,24 +43,24 @@
 
     @property
     def may_apply(self) -> bool:
-        """Whether some process may have taken it without saying so."""
+        """Whether a process may have accepted it without a reply."""
         return self.lost or any(self.unanswered.values())
 
 
 @attrs.define
-class _Gathering:
+class _StatusQuery:
     since: float
     controls: dict[str, status.ControlStatus] = attrs.field(factory=dict)
 
 
 @attrs.define
-class _Founding:
+class _PendingBootstrap:
     since: float
-    passed_on: bool = False
+    is_forwarded: bool = False
 
 
 class Operations:
-    """What operators wait for at one entry."""
+    """Pending requests of operators at one entry."""
 
     def __init__(
         self,
@@ -68,15 +68,15 @@
         node: str,
         controls: Sequence[str],
         follower: follower.Follower,
-        trails: history.HistoryStore,
+        histories: history.HistoryStore,
     ) -> None:
-        """Makes the part of an entry that speaks with operators.
+        """Initializes it without pending requests.
 
         Args:
-            node: Name of this entry.
+            node: Node name of this entry.
             controls: All control processes of all zones.
-            follower: The configuration as this entry follows it.
-            trails: What happened to this entry's requests.
+            follower: Follower of the configuration at this entry.
+            histories: Histories of this entry's requests.
         """
         self._node = node
         self._controls = tuple(controls)
@@ -85,29 +85,29 @@
             name for name in controls if nodes.get_zone(name) == zone
         ]
         self._follower = follower
-        self._trails = trails
+        self._histories = histories
         self._rotation = 0
-        self._changes: dict[str, _Change] = {}
-        self._gatherings: dict[str, _Gathering] = {}
-        self._explains: dict[str, float] = {}
-        self._foundings: dict[str, _Founding] = {}
+        self._changes: dict[str, _PendingChange] = {}
+        self._status_queries: dict[str, _StatusQuery] = {}
+        self._pending_explanations: dict[str, float] = {}
+        self._pending_bootstraps: dict[str, _PendingBootstrap] = {}
 
     def tick(self, now: float) -> list[interface.EntryEffect]:
-        """Sends again what was not answered, and gives up what is overdue."""
+        """Resends requests without a reply, and ends those that timed out."""
         effects: list[interface.EntryEffect] = []
         for pending in list(self._changes.values()):
-            effects += self._push_change(pending, now)
-        for token, gathering in list(self._gatherings.items()):
-            if now - gathering.since >= STATUS_TIMEOUT_S:
-                effects += self._finish_gathering(token, now)
-        for token, since in list(self._explains.items()):
+            effects += self._send_change(pending, now)
+        for token, query in list(self._status_queries.items()):
+            if now - query.since >= STATUS_TIMEOUT_S:
+                effects += self._finish_status_query(token, now)
+        for token, since in list(self._pending_explanations.items()):
             if now - since >= STATUS_TIMEOUT_S:
                 reply = status.ExplainReply(token, found=False)
-                effects += self._answer_explain(reply)
-        for cluster, founding in list(self._foundings.items()):
-            if now - founding.since >= FOUNDING_TIMEOUT_S:
-                detail = "not every control process answered"
-                effects += self._answer_founding(cluster, False, detail)
+                effects += self._answer_explanation(reply)
+        for cluster, bootstrap in list(self._pending_bootstraps.items()):
+            if now - bootstrap.since >= BOOTSTRAP_TIMEOUT_S:
+                detail = "not every control process replied"
+                effects += self._answer_bootstrap(cluster, False, detail)
         return effects
 
     # Changes.
@@ -115,23 +115,27 @@
     def submit(
         self, change: changes.Change, now: float
     ) -> list[interface.EntryEffect]:
-        """Takes a change; a resend joins the one under way."""
+        """Handles a change; a resubmission joins the pending one."""
         if change.change_id in self._changes:
             return []
-        needs_check = isinstance(
+        needs_validation = isinstance(
             change.operation, changes.ApplyService | changes.ApplyPreset
         )
-        pending = _Change(change, now, now, checked=not needs_check)
+        pending = _PendingChange(
+            change, now, now, is_validated=not needs_validation
+        )
         self._changes[change.change_id] = pending
-        if needs_check:
-            # Whether a group fits a fabric domain only the zones know.
-            return self._gather(_name_check(change.change_id), now)
-        return self._push_change(pending, now)
+        if needs_validation:
+            # Only the zones know whether a group fits a fabric domain.
+            return self._query_status(
+                _make_validation_token(change.change_id), now
+            )
+        return self._send_change(pending, now)
 
-    def receive_reply(
+    def handle_change_reply(
         self, sender: str, reply: messages.ChangeReply, now: float
     ) -> list[interface.EntryEffect]:
-        """Takes a control process's reply to a change."""
+        """Handles a control process's reply to a change."""
         change_id = reply.outcome.change_id
         pending = self._changes.get(change_id)
         if pending is None:
@@ -141,20 +145,20 @@
             return [interface.AnswerChange(change_id, reply.outcome)]
         pending.unanswered[sender] -= 1
         if reply.lost:
-            # Appended, then the leader lost its majority. The next leader
-            # may hold it or not; sending it again finds out, as the change
-            # id is remembered in the log itself.
+            # The leader appended the change, then lost its majority. The next
+            # leader's log may contain it or not. Resending is safe and gets
+            # the outcome, as the log records the change ID.
             pending.lost = True
         pending.target = reply.leader
         if reply.leader:
             pending.next_send = now
-            return self._push_change(pending, now)
+            return self._send_change(pending, now)
         return []
 
-    def _push_change(
-        self, pending: _Change, now: float
+    def _send_change(
+        self, pending: _PendingChange, now: float
     ) -> list[interface.EntryEffect]:
-        if not pending.checked:
+        if not pending.is_validated:
             return []
         change_id = pending.change.change_id
         waited_s = now - pending.since
@@ -173,7 +177,8 @@
         target = pending.target
         if not target:
             # A control process of the zone knows whether a leader can be
-            # reached; what it refuses has certainly not been taken.
+            # reached; a change that it refuses has certainly not been
+            # accepted.
             self._rotation += 1
             own = self._zone_controls
             target = own[self._rotation % len(own)]
@@ -182,18 +187,18 @@
         request = messages.ChangeRequest(self._node, pending.change)
         return [interface.Send(target, request)]
 
-    def _check_change(
+    def _validate_change(
         self,
-        pending: _Change,
+        pending: _PendingChange,
         controls: Sequence[status.ControlStatus],
         now: float,
     ) -> list[interface.EntryEffect]:
-        problem = _check_room(
+        problem = _validate_capacity(
             pending.change.operation, controls, self._follower.configuration
         )
         if not problem:
-            pending.checked = True
-            return self._push_change(pending, now)
+            pending.is_validated = True
+            return self._send_change(pending, now)
         change_id = pending.change.change_id
         del self._changes[change_id]
         outcome = changes.Outcome(
@@ -201,61 +206,65 @@
         )
         return [interface.AnswerChange(change_id, outcome)]
 
-    # Questions.
+    # Queries.
 
-    def ask_status(self, token: str, now: float) -> list[interface.EntryEffect]:
-        """Asks every control process for its status."""
-        return self._gather(token, now)
+    def request_status(
+        self, token: str, now: float
+    ) -> list[interface.EntryEffect]:
+        """Requests the status of every control process."""
+        return self._query_status(token, now)
 
-    def receive_status(
+    def handle_status(
         self, reply: status.StatusReply, now: float
     ) -> list[interface.EntryEffect]:
-        """Takes one control process's status."""
-        gathering = self._gatherings.get(reply.token)
-        if gathering is None:
+        """Handles the status of one control process."""
+        query = self._status_queries.get(reply.token)
+        if query is None:
             return []
-        gathering.controls[reply.status.node] = reply.status
-        if len(gathering.controls) < len(self._controls):
+        query.controls[reply.status.node] = reply.status
+        if len(query.controls) < len(self._controls):
             return []
-        return self._finish_gathering(reply.token, now)
+        return self._finish_status_query(reply.token, now)
 
-    def _gather(self, token: str, now: float) -> list[interface.EntryEffect]:
-        self._gatherings[token] = _Gathering(now)
+    def _query_status(
+        self, token: str, now: float
+    ) -> list[interface.EntryEffect]:
+        self._status_queries[token] = _StatusQuery(now)
         request = status.StatusRequest(self._node, token)
         return [interface.Send(node, request) for node in self._controls]
 
-    def _finish_gathering(
+    def _finish_status_query(
         self, token: str, now: float
     ) -> list[interface.EntryEffect]:
-        gathering = self._gatherings.pop(token)
-        found = tuple(s for _, s in sorted(gathering.controls.items()))
-        change_id = _get_checked(token)
+        query = self._status_queries.pop(token)
+        found = tuple(s for _, s in sorted(query.controls.items()))
+        change_id = _parse_validation_token(token)
         if change_id is None:
             return [interface.AnswerStatus(token, found)]
         pending = self._changes.get(change_id)
-        return self._check_change(pending, found, now) if pending else []
+        return self._validate_change(pending, found, now) if pending else []
 
-    def ask_explain(
+    def request_explanation(
         self, token: str, request_id: str, now: float
     ) -> list[interface.EntryEffect]:
-        """Asks the entry that took a request, which may be this one."""
-        owner = nodes.parse_entry_node(request_id)
-        if owner == self._node:
+        """Queries the entry that accepted a request, which may be this one."""
+        entry = nodes.parse_entry_node(request_id)
+        if entry == self._node:
             return [
                 interface.AnswerExplain(token, self.explain(token, request_id))
             ]
-        zone = nodes.get_zone(owner) if owner else ""
+        zone = nodes.get_zone(entry) if entry else ""
         relays = [n for n in self._controls if nodes.get_zone(n) == zone]
         if not relays:
             not_found = status.ExplainReply(token, found=False)
             return [interface.AnswerExplain(token, not_found)]
-        self._explains[token] = now
+        self._pending_explanations[token] = now
         request = status.ExplainRequest(self._node, token, request_id)
         return [interface.Send(node, request) for node in relays]
 
     def explain(self, token: str, request_id: str) -> status.ExplainReply:
-        """Returns what happened to a request of this entry."""
-        found = self._trails.get(request_id)
+        """Returns the history of a request of this entry."""
+        found = self._histories.get(request_id)
         if found is None:
             return status.ExplainReply(token, found=False)
         steps = tuple(
@@ -274,84 +283,85 @@
             token, True, found.service, found.workspace, steps
         )
 
-    def receive_explain(
+    def handle_explanation(
         self, reply: status.ExplainReply
     ) -> list[interface.EntryEffect]:
-        """Takes another entry's answer; several may come, the first counts."""
-        if reply.token not in self._explains:
+        """Handles another entry's reply; drops replies after the first."""
+        if reply.token not in self._pending_explanations:
             return []
-        return self._answer_explain(reply)
+        return self._answer_explanation(reply)
 
-    def _answer_explain(
+    def _answer_explanation(
         self, reply: status.ExplainReply
     ) -> list[interface.EntryEffect]:
-        del self._explains[reply.token]
+        del self._pending_explanations[reply.token]
         return [interface.AnswerExplain(reply.token, reply)]
 
-    # The start of a cluster.
+    # Bootstrap of a cluster.
 
-    def ask_founding(
+    def request_bootstrap(
         self, cluster: str, now: float
     ) -> list[interface.EntryEffect]:
-        """Asks the control processes to start a cluster.
+        """Queries the control processes, to bootstrap a cluster.
 
-        They are asked in one order; the first one with a data folder does it.
+        They are queried in a fixed order; the first one with a data folder
+        that replies bootstraps the cluster.
         """
-        self._foundings[cluster] = _Founding(now)
+        self._pending_bootstraps[cluster] = _PendingBootstrap(now)
         request = messages.IdentityRequest(self._node)
         return [interface.Send(node, request) for node in self._controls]
 
-    def receive_identity(
+    def handle_identity(
         self, reply: messages.IdentityReply
     ) -> list[interface.EntryEffect]:
-        """Passes the request on to the first process with a data folder."""
+        """Forwards the request to the first process with a data folder."""
         if not reply.member:
             return []
         effects: list[interface.EntryEffect] = []
-        for cluster, founding in self._foundings.items():
-            if not founding.passed_on:
-                founding.passed_on = True
+        for cluster, bootstrap in self._pending_bootstraps.items():
+            if not bootstrap.is_forwarded:
+                bootstrap.is_forwarded = True
                 request = messages.FoundRequest(self._node, cluster)
                 effects.append(interface.Send(reply.node, request))
         return effects
 
-    def receive_founding(
+    def handle_bootstrap_reply(
         self, reply: messages.FoundReply
     ) -> list[interface.EntryEffect]:
-        """Takes the answer to the start of a cluster."""
-        if reply.cluster not in self._foundings:
+        """Handles the reply to a request to bootstrap a cluster."""
+        if reply.cluster not in self._pending_bootstraps:
             return []
-        return self._answer_founding(reply.cluster, reply.done, reply.detail)
+        return self._answer_bootstrap(reply.cluster, reply.done, reply.detail)
 
-    def _answer_founding(
+    def _answer_bootstrap(
         self, cluster: str, done: bool, detail: str
     ) -> list[interface.EntryEffect]:
-        del self._foundings[cluster]
+        del self._pending_bootstraps[cluster]
         return [interface.AnswerBootstrap(cluster, done, detail)]
 
 
-_CHECK_PREFIX = "check:"
+_VALIDATION_PREFIX = "check:"
 
 
-def _name_check(change_id: str) -> str:
-    return _CHECK_PREFIX + change_id
+def _make_validation_token(change_id: str) -> str:
+    return _VALIDATION_PREFIX + change_id
 
 
-def _get_checked(token: str) -> str | None:
-    """Returns the change that a status was gathered for, if for one."""
-    if token.startswith(_CHECK_PREFIX):
-        return token[len(_CHECK_PREFIX) :]
+def _parse_validation_token(token: str) -> str | None:
+    """Returns the change that a status query validates, if any."""
+    if token.startswith(_VALIDATION_PREFIX):
+        return token[len(_VALIDATION_PREFIX) :]
     return None
 
 
-def _check_room(
+def _validate_capacity(
     operation: changes.Operation,
     controls: Sequence[status.ControlStatus],
     configuration: configuration_model.Configuration,
 ) -> str:
     """Returns why a change can never be placed; empty if it can.
 
-    A zone in which no backend server has announced itself yet is not judged.
+    A zone in which no backend server has announced itself yet is skipped.
     """
     largest: dict[str, int] = {}
     for control in controls:
--- a/src/hickorylead/roles/status.py
+++ b/src/hickorylead/roles/status.py
@@ -1,4 +1,4 @@
-"""What each control process tells about its zone, for `status`."""
+"""Status of control processes and their zones, for `status`."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
     Attributes:
         name: The group.
-        service: Service it runs.
+        service: Service that it runs.
         domain: Fabric domain.
         state: forming, serving, broken or draining.
-        vms: VMs by rank; empty where one is lost.
+        vms: VMs by rank; an empty name where one is lost.
     """
 
     name: str
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class EntryStatus:
-    """One entry, and the configuration version it follows."""
+    """One entry, and the version of its configuration."""
 
     entry: str
     version: int
@@ -50,19 +50,19 @@
     Attributes:
         node: The control process.
         zone: Its zone.
-        version: Configuration version that it holds.
-        preset: Preset in force by that version.
-        leader: Control process that it takes for the leader of the log.
-        is_leader: Whether it leads the log with a majority.
+        version: Version of its configuration.
+        preset: Preset in force in that version.
+        leader: Control process that it considers the leader of the log.
+        is_leader: Whether it leads the log and has a majority.
         is_holder: Whether it holds the zone lease.
-        fence: Its fencing number, if it does.
+        fence: Fencing number of the lease, if it holds it.
         members: Backend servers present.
         largest_domain: VMs of the largest fabric domain.
         stranded: Healthy VMs in no serving group.
         downtime_s: Replica seconds lost so far, while it held the lease.
-        services: What is wanted and what serves.
+        services: Wanted and serving replicas of each service.
         groups: All groups.
-        entries: All entries heard.
+        entries: All entries that it receives messages from.
     """
 
     node: str
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class StatusRequest:
-    """Asks a control process for its status."""
+    """Requests the status of a control process."""
 
     entry: str
     token: str
@@ -92,7 +92,7 @@
 
 @attrs.frozen
 class StatusReply:
-    """Answers a status request."""
+    """Reply to a status request."""
 
     token: str
     status: ControlStatus
@@ -100,7 +100,7 @@
 
 @attrs.frozen
 class ExplainRequest:
-    """Asks the entry that took a request what happened to it."""
+    """Requests the history of a request from the entry that accepted it."""
 
     asker: str
     token: str
@@ -109,7 +109,7 @@
 
 @attrs.frozen
 class ExplainStep:
-    """One step of a trail, as `explain` shows it."""
+    """One step of a request's history, as `explain` shows it."""
 
     after_s: float
     what: str
@@ -119,10 +119,10 @@
 
 @attrs.frozen
 class ExplainReply:
-    """Answers an explain request; not `found` if the trail is not kept.
+    """Reply to an explain request; not `found` without a stored history.
 
-    It goes back through the control process that passed the request on: the
-    two entries do not know each other's addresses.
+    It is sent back through the control process that forwarded the request:
+    the two entries do not know each other's addresses.
     """
 
     token: str
--- a/src/hickorylead/roles/zoneholder.py
+++ b/src/hickorylead/roles/zone_controller.py
@@ -1,4 +1,4 @@
-"""What the holder of a zone lease does: plan, order, tell the entries."""
+"""Planning, orders and publishing of the replica table of one zone."""
 
 from __future__ import annotations
 
@@ -31,16 +31,17 @@
 Effect: TypeAlias = orders.SendOrder | messages.Send
 
 PLAN_PERIOD_S = 0.5
-# With nothing new and nothing under way the plan is only looked over.
+# Period between two plans while nothing has changed and no work is in progress.
 SETTLED_PERIOD_S = 5.0
-# After this without news of another zone its replicas are not offered: their
-# entries are cut off, and so probably are they.
-REMOTE_SILENCE_S = 10.0
-REMOTE_HOLDER_SILENCE_S = 3.0
+# After this time without an update of another zone's table its replicas are not
+# offered: the zone is partitioned from this one, and so probably are its
+# replicas.
+REMOTE_TABLE_TIMEOUT_S = 10.0
+REMOTE_HOLDER_TIMEOUT_S = 3.0
 
 
-class ZoneHolder:
-    """Placement and replica table of one zone, while the lease is held."""
+class ZoneController:
+    """Placement and replica table of one zone, while it holds the lease."""
 
     def __init__(
         self,
@@ -52,36 +53,36 @@
         policy: planner_module.Policy,
         now: float,
     ) -> None:
-        """Makes the part of a process that does not hold the lease yet.
+        """Initializes it for a process that does not hold the lease yet.
 
         Args:
-            node: Name of this control process.
+            node: Node name of this control process.
             controls: All control processes of all zones.
             registry: Present servers of the zone.
             lease: The zone lease.
-            policy: Trade between downtime and stranded accelerators.
+            policy: Trade-off between downtime and stranded accelerators.
             now: Present time.
         """
         self._zone = nodes.get_zone(node)
         self._node = node
         self._registry = registry
         self._lease = lease
-        self._others = tuple(
+        self._other_zone_controls = tuple(
             name for name in controls if nodes.get_zone(name) != self._zone
         )
         self._planner = planner_module.Planner(zone=self._zone, policy=policy)
         self._publisher = publisher_module.Publisher(zone=self._zone)
-        self._remote = table_module.ReplicaTable()
+        self._remote_tables = table_module.ReplicaTable()
         self._takeover = takeover_module.Takeover(
             zone=self._zone, zones=map(nodes.get_zone, controls), now=now
         )
-        # Who sent the last table of each other zone.
+        # The control process that sent the last table of each other zone.
         self._remote_holders: dict[str, str] = {}
         self._withdrawn: set[tuple[str, int, str]] = set()
         self._adopted_fence = 0
         self._next_plan = 0.0
-        self._planned_at = self._measured_at = 0.0
-        self._planned_for: tuple[int, int, int, tuple[str, ...]] | None = None
+        self._planned_at = self._downtime_counted_at = 0.0
+        self._planned_state: tuple[int, int, int, tuple[str, ...]] | None = None
         self._replicas: dict[str, messages.Replica] = {}
         self._downtime_s = 0.0
         self._services: tuple[status.ServiceStatus, ...] = ()
@@ -92,14 +93,14 @@
         """Plans and publishes, if the lease allows it.
 
         Args:
-            configuration: What is in force; None while it is not sure.
+            configuration: The configuration in force; None while unknown.
             now: Present time.
         """
         present = self._registry.members
         self._withdrawn = {w for w in self._withdrawn if w[0] in present}
-        for zone, remote in list(self._remote.zones.items()):
-            if now - remote.last_update_at > REMOTE_SILENCE_S:
-                self._remote.remove_zone(zone)
+        for zone, remote in list(self._remote_tables.zones.items()):
+            if now - remote.last_update_at > REMOTE_TABLE_TIMEOUT_S:
+                self._remote_tables.remove_zone(zone)
         if now < self._next_plan:
             return []
         self._next_plan = now + PLAN_PERIOD_S
@@ -108,10 +109,10 @@
             self._adopted_fence = 0
             return []
         if not self._adopted_fence:
-            # What was believed when the lease was last held is old.
+            # The state from when this process last held the lease is stale.
             self._planner.adopt(self._registry.members)
-            self._planned_at = self._measured_at = now
-            self._planned_for = None
+            self._planned_at = self._downtime_counted_at = now
+            self._planned_state = None
         self._adopted_fence = self._lease.fencing_number
         effects: list[Effect] = []
         state = (
@@ -121,11 +122,11 @@
             self._takeover.lost_zones,
         )
         if (
-            state != self._planned_for
+            state != self._planned_state
             or not self._planner.is_settled()
             or now - self._planned_at >= SETTLED_PERIOD_S
         ):
-            self._planned_for, self._planned_at = state, now
+            self._planned_state, self._planned_at = state, now
             effects += self._plan(configuration, now)
         self._count_downtime(now)
         effects += self._publisher.publish(
@@ -133,7 +134,7 @@
             members=self._registry.members,
             listeners=[
                 *sorted(self._registry.entries),
-                *self._list_remote(now),
+                *self._list_remote_recipients(now),
             ],
             fence=self._lease.fencing_number,
             now=now,
@@ -165,7 +166,7 @@
     def receive(
         self, message: messages.Message, sender: str, now: float
     ) -> list[messages.Send]:
-        """Takes a table of another zone, or gives a whole one."""
+        """Handles another zone's table, or sends a full table on request."""
         match message:
             case messages.TableUpdate(zone):
                 if zone == self._zone:
@@ -173,7 +174,7 @@
                 self._remote_holders[zone] = sender
                 self._takeover.record_heartbeat(zone, now)
                 effects: list[messages.Send] = []
-                if self._remote.apply_update(message, now):
+                if self._remote_tables.apply_update(message, now):
                     request = messages.TableRequest(self._node, zone)
                     effects.append(messages.Send(sender, request))
                 if self._lease.is_held(now):
@@ -183,9 +184,9 @@
                     ]
                 return effects
             case messages.TableRequest(node, zone):
-                return self._give_table(node, zone, now)
+                return self._send_table(node, zone, now)
             case messages.Withdrawal(zone):
-                # From another zone; its own entries know it already.
+                # The entries of the sender's zone have received it already.
                 return [
                     messages.Send(entry, message)
                     for entry in sorted(self._registry.entries)
@@ -193,26 +194,29 @@
                 ]
 
     def withdraw(self, state: announcements.ServerState) -> list[messages.Send]:
-        """Tells everyone at once that a group with a leaving VM takes no work.
+        """Notifies all nodes at once that a group has a leaving VM.
 
-        This does not wait for the holder of the lease, which may be lost at
-        this moment: to stop sending work somewhere needs no agreement.
+        This does not wait for the lease holder, which may be lost at this
+        moment: to stop sending requests to a group needs no agreement.
         """
         key = (state.vm, state.boot, state.group)
         if not state.group or key in self._withdrawn:
             return []
         self._withdrawn.add(key)
         message = messages.Withdrawal(self._zone, state.group, state.generation)
-        nodes_to_tell = [*sorted(self._registry.entries), *self._others]
-        return [messages.Send(node, message) for node in nodes_to_tell]
+        recipients = [
+            *sorted(self._registry.entries),
+            *self._other_zone_controls,
+        ]
+        return [messages.Send(node, message) for node in recipients]
 
-    def may_order(self, now: float) -> bool:
-        """Says whether an order may be given at this moment."""
+    def may_issue_orders(self, now: float) -> bool:
+        """Returns whether an order may be issued now."""
         return self._lease.may_issue_orders(now)
 
     @property
     def groups(self) -> Mapping[str, groups_module.Group]:
-        """Replica groups as this process last knew them."""
+        """Replica groups, as of when this process last planned."""
         return self._planner.groups
 
     def describe_groups(self) -> tuple[status.GroupStatus, ...]:
@@ -230,20 +234,20 @@
 
     @property
     def services(self) -> tuple[status.ServiceStatus, ...]:
-        """What was wanted and what served, when it last planned."""
+        """Wanted and serving replicas of each service, as of the last plan."""
         return self._services
 
     @property
     def downtime_s(self) -> float:
-        """Replica seconds lost while this process held the lease."""
+        """Replica seconds of downtime while this process held the lease."""
         return self._downtime_s
 
     def count_stranded(self) -> int:
-        """Returns how many healthy VMs sit in no serving group."""
+        """Returns the number of healthy VMs in no serving group."""
         return self._planner.count_stranded()
 
     def find_largest_domain(self) -> int:
-        """Returns the VMs of the largest fabric domain of the zone."""
+        """Returns the number of VMs in the zone's largest fabric domain."""
         sizes = collections.Counter(
             member.state.domain
             for member in self._registry.members.values()
@@ -251,7 +255,7 @@
         )
         return max(sizes.values(), default=0)
 
-    def _give_table(
+    def _send_table(
         self, node: str, zone: str, now: float
     ) -> list[messages.Send]:
         if not self._lease.is_held(now):
@@ -261,7 +265,7 @@
                 return []
             full = self._publisher.make_full_update(self._registry.members)
             return [messages.Send(node, full)]
-        remote = self._remote.zones.get(zone)
+        remote = self._remote_tables.zones.get(zone)
         if remote is None or not remote.complete:
             return []
         full = messages.TableUpdate(
@@ -273,23 +277,24 @@
         )
         return [messages.Send(node, full)]
 
-    def _list_remote(self, now: float) -> list[str]:
-        """Returns whom to tell in other zones: their holders, if known.
+    def _list_remote_recipients(self, now: float) -> list[str]:
+        """Returns the recipients in other zones: their lease holders, if known.
 
-        A process that takes over there sends its own table, which makes it
-        known here, and asks for what it has missed.
+        A process that takes over the lease of another zone sends its own
+        table, which makes it known here, and requests the updates that it has
+        missed.
         """
-        listeners = []
-        for node in self._others:
+        recipients = []
+        for node in self._other_zone_controls:
             zone = nodes.get_zone(node)
-            remote = self._remote.zones.get(zone)
+            remote = self._remote_tables.zones.get(zone)
             is_fresh = (
                 remote is not None
-                and now - remote.last_update_at <= REMOTE_HOLDER_SILENCE_S
+                and now - remote.last_update_at <= REMOTE_HOLDER_TIMEOUT_S
             )
             if not is_fresh or self._remote_holders.get(zone) == node:
-                listeners.append(node)
-        return listeners
+                recipients.append(node)
+        return recipients
 
     def _count_serving(
         self, configuration: model.Configuration
@@ -306,13 +311,13 @@
 
     def _count_downtime(self, now: float) -> None:
         missing = sum(max(0, s.wanted - s.serving) for s in self._services)
-        self._downtime_s += missing * (now - self._measured_at)
-        self._measured_at = now
+        self._downtime_s += missing * (now - self._downtime_counted_at)
+        self._downtime_counted_at = now
 
     def _describe_state(self, group: groups_module.Group) -> str:
         if group.draining_since is not None:
             return "draining"
         if group.broken_since is not None:
             return "broken"
-        whole = groups_module.is_ready(group, self._registry.members)
-        return "serving" if whole else "loading"
+        is_ready = groups_module.is_ready(group, self._registry.members)
+        return "serving" if is_ready else "loading"
--- a/src/hickorylead/runtime/control.py
+++ b/src/hickorylead/runtime/control.py
@@ -72,7 +72,7 @@
             records=self._folder.records if self._folder else [],
             rng=random.Random(f"{self.node} {clock.read_wall()}"),
             now=clock.read_monotonic(),
-            wall=clock.read_wall(),
+            wall_time=clock.read_wall(),
         )
         self.log = logs.Log(lambda: self.role.version)
         self._orders: set[asyncio.Task[None]] = set()
@@ -163,7 +163,7 @@
     def _give(self, order: orders.Order) -> None:
         # The process may have been paused since the reducer decided; then
         # the lease is over and the order belongs to the past.
-        if not self.role.may_order(clock.read_monotonic()):
+        if not self.role.may_issue_orders(clock.read_monotonic()):
             return
         task = asyncio.create_task(self._post(order))
         self._orders.add(task)
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -166,7 +166,7 @@
             records=self._folder.records,
             rng=self._rng,
             now=clock.read_boottime(),
-            tuning=self._tuning,
+            voter_options=self._tuning,
         )
         data_folder = pathlib.Path(settings.data_folder)
         self._servers_memo = saved_value.SavedValue(data_folder, "servers")
@@ -487,5 +487,5 @@
             )
             return
         self.settings = settings
-        self.role.neighbours.seeds = settings.seeds
+        self.role.peers.seeds = settings.seeds
         self._log.write(notes.note("reloaded", seeds=list(settings.seeds)))
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -421,7 +421,7 @@
     simulation = context.simulation
     simulation.run(limit)
     for gateway in simulation.gateways.values():
-        assert gateway._view.find(context.head.name) is None
+        assert gateway._directory.find(context.head.name) is None
 
 
 @when("the coordinator of a zone is killed and then a member there crashes")
@@ -465,7 +465,7 @@
     simulation.run_until(
         lambda: all(
             gateway.is_ready()
-            and all(gateway._view.find(name) for name in context.heads)
+            and all(gateway._directory.find(name) for name in context.heads)
             for gateway in simulation.gateways.values()
         ),
         limit,
@@ -799,7 +799,7 @@
     simulation = context.simulation
     simulation.run(limit)
     for gateway in simulation.gateways.values():
-        offered = gateway._view.find(context.head.name)
+        offered = gateway._directory.find(context.head.name)
         # Its head may serve in a new group by then.
         assert offered is None or offered.epoch != context.epoch, offered
 
@@ -974,7 +974,7 @@
 def _(context):
     simulation = context.simulation
     for role in simulation.coordinators.values():
-        assert len(role.neighbours.list_alive(simulation.now)) == 5
+        assert len(role.peers.list_alive(simulation.now)) == 5
 
 
 @when("a gateway starts and the first replies but one are lost")
@@ -993,8 +993,8 @@
     simulation = context.simulation
     # It starts without a known leader, so it sends hellos to all of them.
     gateway = simulation.gateways[context.node]
-    gateway._next_far = simulation.now
-    simulation.run_until(lambda: len(gateway._heard_at) == 6, limit)
+    gateway._next_other_hello = simulation.now
+    simulation.run_until(lambda: len(gateway._last_received_at) == 6, limit)
 
 
 @when(
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -614,7 +614,7 @@
 def _(context, late_s):
     context.play.run(late_s)
     for name, gateway in context.play.world.gateways.items():
-        found = gateway._view.find(context.head)
+        found = gateway._directory.find(context.head)
         assert found is None, (name, found)
 
 
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -77,7 +77,7 @@
     with other work to do may need for the call itself.
     """
     routes, shell.role.routes = shell.role.routes, None
-    shell.role._take_document = lambda _: []
+    shell.role._apply_document = lambda _: []
     shell._configured.clear()
     return routes
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -219,7 +219,7 @@
             records=list(disk.records),
             rng=random.Random(f"{node}{self.rng.random()}"),
             now=self.now,
-            tuning=VOTER_OPTIONS,
+            voter_options=VOTER_OPTIONS,
         )
         role = self.coordinators[node]
         role.registry.restore(disk.servers, self.now)
--- a/tests/support/invariants.py
+++ b/tests/support/invariants.py
@@ -66,7 +66,7 @@
         role = world.roles.get(node)
         if node not in world.controls or role is None:
             continue
-        if role.may_order(world.now):
+        if role.may_issue_orders(world.now):
             listed = [vm for g in role.groups.values() for vm in g.vms if vm]
             assert len(listed) == len(set(listed)), f"{node} lists a VM twice"
 
@@ -80,7 +80,7 @@
             if nodes.get_zone(n) == zone
             and n in world.roles
             and world.paused.get(n, 0) <= world.now
-            and world.roles[n].may_order(world.now)
+            and world.roles[n].may_issue_orders(world.now)
         ]
         assert len(holders) <= 1, f"{holders} hold the lease of {zone}"
 
--- a/tests/support/operator_actions.py
+++ b/tests/support/operator_actions.py
@@ -131,5 +131,5 @@
         for node in world.controls
         if nodes.get_zone(node) == zone
         and node in world.roles
-        and world.roles[node].may_order(world.now)
+        and world.roles[node].may_issue_orders(world.now)
     ]
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -154,7 +154,9 @@
         await self.configure(3)
         await self.wait_for(lambda: len(self.list_model_replicas()) == 2)
         await self.wait_for(
-            lambda: len(self.gateway.role._view.list_replicas("desk", "")) == 2
+            lambda: (
+                len(self.gateway.role._directory.list_replicas("desk", "")) == 2
+            )
         )
 
     async def _add(self, name, service, host, domain) -> None:
@@ -186,7 +188,7 @@
 
     def list_model_replicas(self) -> list:
         """Returns the replicas of the model that the gateway offers."""
-        return self.gateway.role._view.list_replicas("models", MODEL)
+        return self.gateway.role._directory.list_replicas("models", MODEL)
 
     def find_server(self, name: str) -> platform.PlatformServer:
         """Returns a backend server."""
@@ -372,7 +374,7 @@
     plain = day.find_server("p0")
     day.record("server", f"leaves: {await plain.deregister()}")
     await day.wait_for(
-        lambda: len(day.gateway.role._view.list_replicas("desk", "")) == 1
+        lambda: len(day.gateway.role._directory.list_replicas("desk", "")) == 1
     )
     plain.stop()
     await day.send_request("/alerts/9", b"still")
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -194,7 +194,7 @@
                 records=list(self.disks.setdefault(node, [])),
                 rng=rng,
                 now=self.now,
-                wall=self.get_wall(node),
+                wall_time=self.get_wall(node),
             )
         self.call_later(
             self.rng.random() * interface.TICK_S, self._tick(node, life)
@@ -247,7 +247,7 @@
             case consensus_messages.Persist(record):
                 self.disks[node].append(record)
             case orders.SendOrder(order):
-                if self.roles[node].may_order(self.now):
+                if self.roles[node].may_issue_orders(self.now):
                     self.call_later(
                         self.order_delay(order),
                         lambda: self._order(node, order),
