--- a/src/hickorylead/platform/program.py
+++ b/src/hickorylead/platform/program.py
@@ -75,13 +75,13 @@
     _keep_imports()
     shell = gateway.GatewayProcess(
         _make_gateway_settings(found),
-        dialect=headers.PlatformHeaderCodec(),
+        header_codec=headers.PlatformHeaderCodec(),
         read_document=documents.read_packed,
         reload=lambda: _make_gateway_settings(
             settings_module.load_settings("gateway")
         ),
         log=log,
-        opened=opened,
+        listening_socket=opened,
     )
     await shell.run()
 
@@ -95,7 +95,7 @@
     _keep_imports()
     shell = coordinator.CoordinatorProcess(
         _make_coordinator_settings(found),
-        dialect=servers.PlatformServerCodec(),
+        server_codec=servers.PlatformServerCodec(),
         read_document=documents.read_packed,
         make_app=control.make_app,
         reload=lambda: _make_coordinator_settings(
--- a/src/hickorylead/runtime/__init__.py
+++ b/src/hickorylead/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The asyncio shells that turn I/O into events and effects into I/O."""
+"""Asyncio processes that turn I/O into events and effects into I/O."""
--- a/src/hickorylead/runtime/admin_api.py
+++ b/src/hickorylead/runtime/admin_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators."""
+"""HTTP API for operators."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 }
 
 
-def make_routes(shell: entry.EntryProcess) -> list[routing.Route]:
-    """Returns the routes for operators of an entry."""
-    views = _Views(shell)
+def make_routes(process: entry.EntryProcess) -> list[routing.Route]:
+    """Returns the operators' routes of an entry."""
+    views = _Views(process)
     return [
         routing.Route("/admin/changes", views.change, methods=["POST"]),
         routing.Route(
-            "/admin/configuration", views.tell_configuration, methods=["GET"]
+            "/admin/configuration", views.get_configuration, methods=["GET"]
         ),
-        routing.Route("/admin/status", views.tell_status, methods=["GET"]),
+        routing.Route("/admin/status", views.get_status, methods=["GET"]),
         routing.Route(
             "/admin/requests/{request_id}", views.explain, methods=["GET"]
         ),
         routing.Route(
-            "/admin/cluster/{cluster}", views.found, methods=["POST"]
+            "/admin/cluster/{cluster}", views.bootstrap, methods=["POST"]
         ),
     ]
 
@@ -48,8 +48,8 @@
 class _Views:
     """The handlers, bound to one entry."""
 
-    def __init__(self, shell: entry.EntryProcess) -> None:
-        self._shell = shell
+    def __init__(self, process: entry.EntryProcess) -> None:
+        self._process = process
 
     async def change(self, request: requests.Request) -> responses.Response:
         """Handles POST /admin/changes."""
@@ -65,13 +65,13 @@
                 return problems.refuse_input(400, "bad_change", problem)
             case result.Success(change):
                 pass
-        waiting = self._shell.changes.wait(change.change_id)
-        self._shell.apply(interface.ChangeSubmitted(change))
-        answer = await waiting
-        if answer.outcome is None:
-            return _describe_lost(answer)
-        outcome = answer.outcome
-        self._shell.log.info(
+        future = self._process.changes.wait(change.change_id)
+        self._process.apply(interface.ChangeSubmitted(change))
+        effect = await future
+        if effect.outcome is None:
+            return _refuse_without_outcome(effect)
+        outcome = effect.outcome
+        self._process.log.info(
             "change answered",
             change_id=outcome.change_id,
             accepted=outcome.accepted,
@@ -80,34 +80,34 @@
         status = 200
         if not outcome.accepted:
             status = _STATUS_BY_REASON.get(outcome.reason, 422)
-        return _answer_json(json_codec.dump(outcome), status)
+        return _make_json_response(json_codec.dump(outcome), status)
 
-    async def tell_configuration(
+    async def get_configuration(
         self, request: requests.Request
     ) -> responses.Response:
         """Handles GET /admin/configuration."""
         if not self._is_operator(request):
             return _refuse_token()
-        return _answer_json(json_codec.dump(self._shell.role.configuration))
+        return _make_json_response(
+            json_codec.dump(self._process.role.configuration)
+        )
 
-    async def tell_status(
-        self, request: requests.Request
-    ) -> responses.Response:
+    async def get_status(self, request: requests.Request) -> responses.Response:
         """Handles GET /admin/status."""
         if not self._is_operator(request):
             return _refuse_token()
         token = uuid.uuid4().hex
-        waiting = self._shell.statuses.wait(token)
-        self._shell.apply(interface.StatusRequested(token))
-        answer = await waiting
-        role = self._shell.role
-        return _answer_json(
+        future = self._process.statuses.wait(token)
+        self._process.apply(interface.StatusRequested(token))
+        effect = await future
+        role = self._process.role
+        return _make_json_response(
             {
-                "entry": self._shell.node,
+                "entry": self._process.node,
                 "ready": role.is_ready(),
                 "version": role.configuration.version,
                 "preset": role.configuration.preset,
-                "controls": json_codec.dump(answer.statuses),
+                "controls": json_codec.dump(effect.statuses),
             }
         )
 
@@ -116,51 +116,53 @@
         if not self._is_operator(request):
             return _refuse_token()
         token = uuid.uuid4().hex
-        waiting = self._shell.explains.wait(token)
+        future = self._process.explains.wait(token)
         request_id = request.path_params["request_id"]
-        self._shell.apply(interface.ExplainRequested(token, request_id))
-        reply = (await waiting).reply
+        self._process.apply(interface.ExplainRequested(token, request_id))
+        reply = (await future).reply
         if not reply.found:
             return problems.refuse_input(
                 404,
                 "unknown_request",
-                f"no entry that answers keeps request {request_id!r}",
+                f"no entry that replied has a record of {request_id!r}",
             )
-        return _answer_json(json_codec.dump(reply))
+        return _make_json_response(json_codec.dump(reply))
 
-    async def found(self, request: requests.Request) -> responses.Response:
+    async def bootstrap(self, request: requests.Request) -> responses.Response:
         """Handles POST /admin/cluster/{cluster}."""
         if not self._is_operator(request):
             return _refuse_token()
         cluster = request.path_params["cluster"]
-        waiting = self._shell.bootstraps.wait(cluster)
-        self._shell.apply(interface.BootstrapRequested(cluster))
-        answer = await waiting
-        return _answer_json(
-            json_codec.dump(answer), 200 if answer.done else 409
+        future = self._process.bootstraps.wait(cluster)
+        self._process.apply(interface.BootstrapRequested(cluster))
+        effect = await future
+        return _make_json_response(
+            json_codec.dump(effect), 200 if effect.done else 409
         )
 
     def _is_operator(self, request: requests.Request) -> bool:
         authorization = request.headers.get("authorization", "")
-        tokens = {self._shell.settings["operator_token"]: "operators"}
+        tokens = {self._process.settings["operator_token"]: "operators"}
         return headers.find_workspace(authorization, tokens) is not None
 
 
-def _answer_json(found: Any, status: int = 200) -> responses.Response:
+def _make_json_response(value: Any, status: int = 200) -> responses.Response:
     return responses.Response(
-        orjson.dumps(found), status, media_type="application/json"
+        orjson.dumps(value), status, media_type="application/json"
     )
 
 
-def _describe_lost(answer: interface.AnswerChange) -> responses.Response:
-    if answer.may_apply:
+def _refuse_without_outcome(
+    effect: interface.AnswerChange,
+) -> responses.Response:
+    if effect.may_apply:
         return problems.make_response(
             model.Problem(
                 504,
                 "change_outcome_unknown",
                 verdict_module.Verdict.MAY_HAVE_RUN,
-                "the change may take effect; send it again with the same"
-                " change_id to find out",
+                "the change may still take effect; submit it again with the"
+                " same change_id to learn its outcome",
                 2.0,
             )
         )
@@ -169,7 +171,7 @@
             503,
             "no_majority",
             verdict_module.Verdict.NOT_RUN,
-            "no leader with a majority of the voters can be reached from here",
+            "no leader with a majority of the voters can be reached",
             5.0,
         )
     )
--- a/src/hickorylead/runtime/backends.py
+++ b/src/hickorylead/runtime/backends.py
@@ -19,17 +19,17 @@
 Verdict = verdict_module.Verdict
 
 CONNECT_TIMEOUT_S = 2.0
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 MAX_LINE_BYTES = 1024 * 1024
 
 
 class Backends:
-    """All attempts of one entry that are under way."""
+    """All attempts of one entry that are in flight."""
 
     def __init__(
         self, *, deliver: Callable[[events.Event], None], tracer: traces.Tracer
     ) -> None:
-        """Makes the connections of an entry to backend servers.
+        """Makes the HTTP clients of an entry for backend servers.
 
         Args:
             deliver: Called with each event of an attempt.
@@ -38,7 +38,7 @@
         self._deliver = deliver
         self._tracer = tracer
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._cancels: set[asyncio.Task[None]] = set()
+        self._cancel_tasks: set[asyncio.Task[None]] = set()
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_S
         )
@@ -47,9 +47,10 @@
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30),
             read_bufsize=MAX_LINE_BYTES,
         )
-        # A kept connection may have been closed or lost track of meanwhile;
-        # then it cannot be told whether the call ran. Calls that may run only
-        # once, and streams that are joined again, take a new one.
+        # A pooled connection may have been closed by the server, or dropped
+        # by a middlebox, in the meantime; it is then unknown whether the call
+        # ran. Calls that may run only once, and streams that are attached to
+        # again, use a new connection.
         self._fresh = aiohttp.ClientSession(
             timeout=timeout,
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -58,14 +59,14 @@
 
     async def close(self) -> None:
         """Closes all connections."""
-        tasks = [*self._tasks.values(), *self._cancels]
+        tasks = [*self._tasks.values(), *self._cancel_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._pooled.close()
         await self._fresh.close()
 
-    def open(self, attempt: events.StartAttempt) -> None:
+    def start(self, attempt: events.StartAttempt) -> None:
         """Starts an attempt."""
         task = asyncio.create_task(self._run(attempt))
         self._tasks[attempt.attempt_id] = task
@@ -74,16 +75,16 @@
         )
 
     def cancel(self, effect: events.CancelAttempt) -> None:
-        """Closes an attempt's connection and tells the server to stop."""
+        """Closes an attempt's connection and cancels it on the server."""
         task = self._tasks.get(effect.attempt_id)
         if task is not None:
             task.cancel()
         if effect.cancel_on_server and effect.replica.keepalive_s:
-            stop = asyncio.create_task(self._stop(effect))
-            self._cancels.add(stop)
-            stop.add_done_callback(self._cancels.discard)
+            cancel_task = asyncio.create_task(self._cancel_on_server(effect))
+            self._cancel_tasks.add(cancel_task)
+            cancel_task.add_done_callback(self._cancel_tasks.discard)
 
-    async def _stop(self, effect: events.CancelAttempt) -> None:
+    async def _cancel_on_server(self, effect: events.CancelAttempt) -> None:
         url = f"http://{effect.replica.address}/v1/cancel"
         body = orjson.dumps({"request_id": effect.request_id})
         try:
@@ -92,7 +93,7 @@
             ):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # The server is gone, or it notices the closed connection.
+            # The server has ended, or it notices the closed connection.
             pass
 
     async def _run(self, attempt: events.StartAttempt) -> None:
@@ -144,9 +145,9 @@
             headers=_make_headers(traceparent),
         ) as response:
             if response.status != 200:
-                return await _read_refusal(attempt, response)
+                return await _decode_refusal(attempt, response)
             async for line in response.content:
-                frame = _read_frame(attempt.attempt_id, line)
+                frame = _decode_frame(attempt.attempt_id, line)
                 self._deliver(frame)
                 if frame.finish_reason:
                     return None
@@ -169,11 +170,11 @@
             headers=headers,
         ) as response:
             if response.status == 503:
-                return await _read_refusal(attempt, response)
-            body = await response.content.read(MAX_ANSWER_BYTES + 1)
+                return await _decode_refusal(attempt, response)
+            body = await response.content.read(MAX_RESPONSE_BYTES + 1)
             while not response.content.at_eof():
-                body += await response.content.read(MAX_ANSWER_BYTES)
-                if len(body) > MAX_ANSWER_BYTES:
+                body += await response.content.read(MAX_RESPONSE_BYTES)
+                if len(body) > MAX_RESPONSE_BYTES:
                     return _fail(attempt, Verdict.RAN, "answer_too_large")
             return events.AnswerArrived(
                 attempt.attempt_id,
@@ -191,16 +192,16 @@
     return headers
 
 
-def _read_frame(attempt_id: str, line: bytes) -> events.FrameArrived:
-    found: dict[str, Any] = orjson.loads(line)
-    usage = found.get("usage") or {}
+def _decode_frame(attempt_id: str, line: bytes) -> events.FrameArrived:
+    fields: dict[str, Any] = orjson.loads(line)
+    usage = fields.get("usage") or {}
     return events.FrameArrived(
         attempt_id=attempt_id,
-        request_id=str(found["request_id"]),
-        position=int(found["position"]),
-        tokens=int(found["tokens"]),
-        text=str(found["text"]),
-        finish_reason=str(found.get("finish_reason") or ""),
+        request_id=str(fields["request_id"]),
+        position=int(fields["position"]),
+        tokens=int(fields["tokens"]),
+        text=str(fields["text"]),
+        finish_reason=str(fields.get("finish_reason") or ""),
         usage=model.Usage(
             prompt_tokens=int(usage.get("prompt_tokens", 0)),
             completion_tokens=int(usage.get("completion_tokens", 0)),
@@ -209,25 +210,25 @@
     )
 
 
-async def _read_refusal(
+async def _decode_refusal(
     attempt: events.StartAttempt, response: aiohttp.ClientResponse
 ) -> events.AttemptFailed:
-    """Returns the verdict on an attempt that the server refused.
+    """Returns the failure of an attempt that the server refused.
 
-    Only a refusal that the server signed with its own VM name proves that it
-    did not run; anything in between could have made up the rest.
+    Only a refusal that carries the server's own VM name proves that the
+    attempt did not run: a proxy in between could have produced any other one.
     """
     body = await response.content.read(MAX_LINE_BYTES)
     try:
-        found = orjson.loads(body)
+        fields = orjson.loads(body)
     except orjson.JSONDecodeError:
-        found = {}
-    if not isinstance(found, dict):
-        found = {}
-    is_signed = found.get("vm") == attempt.replica.vm
-    if is_signed and found.get("verdict") == Verdict.NOT_RUN.value:
-        reason = str(found.get("reason", "refused"))[:64]
-        retry_after = found.get("retry_after_s")
+        fields = {}
+    if not isinstance(fields, dict):
+        fields = {}
+    is_from_server = fields.get("vm") == attempt.replica.vm
+    if is_from_server and fields.get("verdict") == Verdict.NOT_RUN.value:
+        reason = str(fields.get("reason", "refused"))[:64]
+        retry_after = fields.get("retry_after_s")
         retry_after_s = (
             max(0.0, float(retry_after))
             if isinstance(retry_after, int | float)
--- a/src/hickorylead/runtime/calls.py
+++ b/src/hickorylead/runtime/calls.py
@@ -1,4 +1,4 @@
-"""Short calls with a whole answer, over the connections to replicas."""
+"""Short HTTP calls with a complete response, over pooled connections."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     from hickorylead.fleet import server_codec as server_codec_module
     from hickorylead.runtime import upstream
 
-# Answers to orders and questions have some hundred bytes.
-MAX_ANSWER_BYTES = 256 * 1024
+# Responses to orders and probes have a few hundred bytes.
+MAX_RESPONSE_BYTES = 256 * 1024
 
 
 @attrs.frozen
 class Response:
-    """A whole answer.
+    """A complete response.
 
     Attributes:
         status: HTTP status.
-        body: Its body.
-        headers: Its headers, names in lower case.
+        body: The response body.
+        headers: The headers, names in lower case.
     """
 
     status: int
@@ -33,13 +33,13 @@
 
 @attrs.frozen
 class NoResponse:
-    """There is no whole answer; the call may have had its effect."""
+    """There is no complete response; the call may have taken effect."""
 
     reason: str
 
 
 class _Collector:
-    """Collects one answer."""
+    """Collects one response."""
 
     def __init__(self) -> None:
         self.done: asyncio.Future[Response | NoResponse] = asyncio.Future()
@@ -55,19 +55,19 @@
 
     def on_body_chunk(self, data: bytes) -> None:
         self._body += data
-        if len(self._body) > MAX_ANSWER_BYTES:
-            self._end(NoResponse("answer_too_long"))
+        if len(self._body) > MAX_RESPONSE_BYTES:
+            self._complete(NoResponse("answer_too_long"))
 
     def on_complete(self) -> None:
-        self._end(Response(self._status, bytes(self._body), self._headers))
+        self._complete(Response(self._status, bytes(self._body), self._headers))
 
     def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
         del verdict
-        self._end(NoResponse(reason))
+        self._complete(NoResponse(reason))
 
-    def _end(self, answer: Response | NoResponse) -> None:
+    def _complete(self, response: Response | NoResponse) -> None:
         if not self.done.done():
-            self.done.set_result(answer)
+            self.done.set_result(response)
 
 
 async def make_call(
@@ -76,13 +76,13 @@
     call: server_codec_module.HttpCall,
     timeout_s: float,
 ) -> Response | NoResponse:
-    """Makes a call and returns its answer, or why there is none.
+    """Makes a call and returns its response, or why there is none.
 
     Args:
-        pool: Connections.
+        pool: Pooled connections.
         address: `ip:port` of the server.
-        call: What to ask.
-        timeout_s: Longest time, in seconds.
+        call: The HTTP call.
+        timeout_s: Longest wait for the response, in seconds.
     """
     body = call.body or b""
     head = (
@@ -93,9 +93,9 @@
     exchange = pool.send_request(address, head.encode() + body, collector)
     try:
         async with asyncio.timeout(timeout_s):
-            answer = await collector.done
+            response = await collector.done
     except TimeoutError:
-        answer = NoResponse("timeout")
-    if isinstance(answer, NoResponse):
+        response = NoResponse("timeout")
+    if isinstance(response, NoResponse):
         exchange.cancel()
-    return answer
+    return response
--- a/src/hickorylead/runtime/chat.py
+++ b/src/hickorylead/runtime/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions, as existing client libraries speak them."""
+"""Chat completions in the format of existing client libraries."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 1_000_000
 MAX_PREFIXES = 16
-# A prompt of one message has no message boundary; its start may still be one
-# that others share.
+# A prompt of one message has no message boundary, but its beginning may still
+# be shared with other prompts.
 FIRST_PREFIX_CHARACTERS = 256
 CHARACTERS_PER_TOKEN = 4
 DONE = b"data: [DONE]\n\n"
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class ChatRequest:
-    """What the system needs to know of a chat completion.
+    """The parts of a chat completion request that the system uses.
 
     Attributes:
-        service: Service asked, from `model`.
-        streamed: Whether the answer is wanted as it is made.
-        with_usage: Whether a streamed answer ends with the token counts.
-        max_tokens: Most tokens the answer may have.
-        prompt_tokens: Rough size of the prompt.
+        service: Requested service, from `model`.
+        streamed: Whether the response is streamed.
+        with_usage: Whether a streamed response ends with the token counts.
+        max_tokens: Maximum number of tokens in the response.
+        prompt_tokens: Estimated number of tokens in the prompt.
         prefixes: Hashes of growing prefixes of the prompt.
     """
 
@@ -43,27 +43,27 @@
     prefixes: tuple[str, ...]
 
 
-def read_chat(body: bytes) -> result.Result[ChatRequest, str]:
+def decode_chat_request(body: bytes) -> result.Result[ChatRequest, str]:
     """Returns a chat completion request, or what is wrong with it."""
     try:
-        found = orjson.loads(body)
+        fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         return result.Failure(f"the body is not JSON: {error}")
-    if not isinstance(found, dict):
+    if not isinstance(fields, dict):
         return result.Failure("the body is not a JSON object")
-    service, messages = found.get("model"), found.get("messages")
+    service, messages = fields.get("model"), fields.get("messages")
     if not isinstance(service, str) or not service:
         return result.Failure("model is missing")
     if not isinstance(messages, list) or not messages:
         return result.Failure("messages is missing or empty")
     if not all(isinstance(message, dict) for message in messages):
         return result.Failure("a message is not a JSON object")
-    max_tokens = found.get(
-        "max_completion_tokens", found.get("max_tokens", DEFAULT_MAX_TOKENS)
+    max_tokens = fields.get(
+        "max_completion_tokens", fields.get("max_tokens", DEFAULT_MAX_TOKENS)
     )
     if type(max_tokens) is not int or not 1 <= max_tokens <= MAX_TOKENS:
         return result.Failure(f"max_tokens is not within 1..{MAX_TOKENS}")
-    options = found.get("stream_options")
+    options = fields.get("stream_options")
     with_usage = isinstance(options, dict) and bool(
         options.get("include_usage")
     )
@@ -71,7 +71,7 @@
     return result.Success(
         ChatRequest(
             service=service,
-            streamed=bool(found.get("stream")),
+            streamed=bool(fields.get("stream")),
             with_usage=with_usage,
             max_tokens=max_tokens,
             prompt_tokens=sum(map(len, texts)) // CHARACTERS_PER_TOKEN,
@@ -91,7 +91,7 @@
     return tuple(prefixes)
 
 
-def render_whole(
+def render_completion(
     request_id: str,
     service: str,
     created: int,
@@ -99,7 +99,7 @@
     finish_reason: str,
     usage: model.Usage,
 ) -> bytes:
-    """Returns the body of a whole answer."""
+    """Returns the body of a complete response."""
     return orjson.dumps(
         {
             "id": request_id,
@@ -119,15 +119,15 @@
 
 
 class ChunkRenderer:
-    """Renders the chunks of one streamed answer."""
+    """Renders the chunks of one streamed response."""
 
     def __init__(self, request_id: str, service: str, created: int) -> None:
         """Makes a renderer.
 
         Args:
-            request_id: The request.
-            service: Service that answers.
-            created: Unix seconds.
+            request_id: Id of the request.
+            service: Requested service.
+            created: Start of the response, in Unix seconds.
         """
         self._base: dict[str, Any] = {
             "id": request_id,
@@ -135,14 +135,14 @@
             "created": created,
             "model": service,
         }
-        # All of a chunk but its text is the same for each token.
+        # Everything in a chunk except its text is the same for each token.
         head = orjson.dumps(self._base)[:-1]
         self._head = (
             b"data: " + head + b',"choices":[{"index":0,"delta":{"content":'
         )
 
     def render_text(self, text: str) -> bytes:
-        """Returns the chunk of a piece of text."""
+        """Returns the chunk for a part of the text."""
         tail = b'},"finish_reason":null}]}\n\n'
         return self._head + orjson.dumps(text) + tail
 
@@ -159,10 +159,10 @@
         return b"".join(map(_render_event, chunks)) + DONE
 
     def render_problem(self, problem: dict[str, Any]) -> bytes:
-        """Returns the last chunk of an answer that broke off.
+        """Returns the last chunk of a response that is aborted.
 
-        It is not followed by the usual end, so that no client takes the
-        pieces for a whole answer.
+        The usual end marker does not follow, so that no client treats the
+        chunks as a complete response.
         """
         return _render_event({"error": problem})
 
--- a/src/hickorylead/runtime/clock.py
+++ b/src/hickorylead/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a real process; reducers are only given what these say."""
+"""Clocks of a process; reducers get the time as an argument instead."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 
 
 def read_monotonic() -> float:
-    """Returns seconds that never go back."""
+    """Returns monotonic time, in seconds."""
     return time.monotonic()
 
 
 def read_wall() -> float:
-    """Returns Unix seconds; they may jump."""
+    """Returns wall-clock time, in Unix seconds; it may jump."""
     return time.time()
 
 
 def read_boottime() -> float:
-    """Returns seconds that never go back and count suspension.
+    """Returns monotonic time that includes suspension, in seconds.
 
-    A VM may be suspended for seconds. A clock that stands still meanwhile
-    would let a lease, or a lead, last longer than the others believe.
+    A VM may be suspended for seconds. With a clock that stops during that
+    time, a lease or a leadership would last longer on this node than the other
+    nodes assume.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/hickorylead/runtime/control.py
+++ b/src/hickorylead/runtime/control.py
@@ -1,4 +1,4 @@
-"""The shell of a control process."""
+"""The control process: its reducer with peers, disk and orders."""
 
 from __future__ import annotations
 
@@ -40,11 +40,12 @@
         """Makes a control process; `run` starts it.
 
         Args:
-            settings: Checked values of `settings.roles.CONTROL_OPTIONS`.
+            settings: Validated values of `settings.roles.CONTROL_OPTIONS`.
 
         Raises:
             errors.DataFolderError: The data folder cannot be used.
-            errors.SettingsError: The list of controls does not name this one.
+            errors.SettingsError: The list of controls does not contain this
+                node.
         """
         self.settings = settings
         self.node = nodes.make_node_name(
@@ -87,7 +88,7 @@
         )
 
     async def run(self) -> None:
-        """Serves until the process is asked to stop.
+        """Serves until the process has to stop.
 
         Raises:
             errors.DataFolderError: A record could not be written.
@@ -102,10 +103,10 @@
         await self._peers.start()
         await http.start()
         self.log.info("started", node=self.node)
-        ticking = asyncio.create_task(self._tick())
-        process.end_with(ticking, self._stop)
+        tick_task = asyncio.create_task(self._tick())
+        process.stop_on_failure(tick_task, self._stop)
         await process.wait_for_stop(self._stop)
-        ticking.cancel()
+        tick_task.cancel()
         await http.close()
         await self._peers.close()
         for task in self._orders:
@@ -114,8 +115,8 @@
         if self._folder is not None:
             self._folder.close()
         self.log.info("stopped")
-        if ticking.done() and not ticking.cancelled():
-            ticking.result()
+        if tick_task.done() and not tick_task.cancelled():
+            tick_task.result()
         if self._disk_error is not None:
             raise errors.DataFolderError(
                 f"data folder {self.settings['data_folder']}:"
@@ -123,7 +124,7 @@
             )
 
     def apply(self, event: interface.ControlEvent) -> None:
-        """Gives an event to the reducer and carries out its effects."""
+        """Passes an event to the reducer and carries out its effects."""
         if self._disk_error is not None:
             return
         try:
@@ -133,9 +134,9 @@
                 assert self.role.voter is not None
                 self._folder.rewrite(self.role.voter.export_records())
         except OSError as error:
-            # What the reducer believes to be on disk is not. If it went on it
-            # could acknowledge a change that a restart takes back, so not one
-            # more effect is carried out and the process ends.
+            # The reducer's state now differs from the disk. If it continued
+            # it could acknowledge a change that is lost at a restart, so no
+            # further effect is carried out and the process ends.
             self._disk_error = error
             self._stop.set()
             self.log.error("disk failed", detail=str(error))
@@ -146,11 +147,11 @@
                 self._peers.send(node, message)
             case consensus_messages.Persist(record):
                 assert self._folder is not None
-                # The loop waits for the disk: an answer may only leave after
-                # the sync, and changes are few.
+                # This blocks the event loop on the disk: a reply may only be
+                # sent after the sync, and changes are rare.
                 self._folder.persist(record)
             case orders.SendOrder(order):
-                self._give(order)
+                self._send_order(order)
 
     def _receive(self, sender: str, message: interface.Message) -> None:
         self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
@@ -160,9 +161,9 @@
             self.apply(interface.Tick(clock.read_wall()))
             await asyncio.sleep(interface.TICK_S)
 
-    def _give(self, order: orders.Order) -> None:
-        # The process may have been paused since the reducer decided; then
-        # the lease is over and the order belongs to the past.
+    def _send_order(self, order: orders.Order) -> None:
+        # The process may have been suspended since the reducer issued the
+        # order; then the lease may have expired and the order is obsolete.
         if not self.role.may_issue_orders(clock.read_monotonic()):
             return
         task = asyncio.create_task(self._post(order))
@@ -188,26 +189,26 @@
             )
 
     def _make_app(self) -> applications.Starlette:
-        # Imported here: only this process's scrape needs it.
+        # Imported here: only control processes expose these metrics.
         from hickorylead.telemetry import metrics as metrics_module
 
         metrics = metrics_module.ControlMetrics()
 
-        async def tell_health(_: requests.Request) -> responses.Response:
+        async def get_health(_: requests.Request) -> responses.Response:
             return responses.PlainTextResponse("ok\n")
 
-        async def tell_metrics(
+        async def get_metrics(
             request: requests.Request,
         ) -> responses.Response:
             metrics.set_status(self.role.get_status(clock.read_monotonic()))
             accept = request.headers.get("accept", "text/plain")
-            body, found = metrics.render([accept])
-            return responses.Response(body, headers=found)
+            body, headers = metrics.render([accept])
+            return responses.Response(body, headers=headers)
 
         return applications.Starlette(
             routes=[
-                routing.Route("/healthz", tell_health),
-                routing.Route("/metrics", tell_metrics),
+                routing.Route("/healthz", get_health),
+                routing.Route("/metrics", get_metrics),
             ]
         )
 
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -1,4 +1,4 @@
-"""The shell of a coordinator: peers, disk, orders, signals."""
+"""The coordinator process: peers, disk, orders, signals."""
 
 from __future__ import annotations
 
@@ -45,18 +45,18 @@
 
     from hickorylead.configuration import document as document_module
 
-# Orders and questions are answered within some ms; a server that is dark never
-# answers. In seconds.
+# Servers respond to orders and probes within a few ms; an unreachable server
+# never responds. In seconds.
 ORDER_TIMEOUT_S = 0.4
-# A question for a server's state decides whether it is dead, and its callers
-# wait meanwhile. In seconds.
+# A probe for a server's state decides whether it is dead, and the callers of
+# that server wait in the meantime. In seconds.
 REPORT_TIMEOUT_S = 0.25
 CLOSE_IDLE_PERIOD_S = 0.5
-# The disk is tried again this often after a write that it refused, in seconds.
+# Interval of attempts to reopen the disk after a failed write, in seconds.
 DISK_RETRY_S = 0.5
-# A lost leader is noticed by its voters within about a second. The longest
-# pause of a loop that syncs to a disk 25 times slower than usual is 50 ms.
-TUNING = voter_module.VoterOptions(
+# Voters detect the loss of a leader within about a second. The longest delay of
+# an event loop that syncs to a disk 25 times slower than usual is 50 ms.
+VOTER_OPTIONS = voter_module.VoterOptions(
     heartbeat_s=0.15,
     election_min_s=0.7,
     election_max_s=1.4,
@@ -68,22 +68,22 @@
 
 @attrs.frozen
 class Settings:
-    """What a coordinator is told.
+    """Settings of a coordinator.
 
     Attributes:
         vm: Name of the VM.
         zone: Its availability zone.
         zones: All availability zones.
-        ip: IP number by which others reach it.
+        ip: IP address at which other nodes reach it.
         control_port: Port for backend servers and operators.
         peer_port: Port for the other processes of the system.
         seeds: Peer addresses of a few coordinators.
-        metrics_port: Port for scrapes; 0 for none.
-        may_bootstrap: Whether the whole system starts for the first time.
-        data_folder: Folder on a disk.
-        heartbeat_s: Pause between heartbeats of backend servers, in seconds.
-        max_lost_disks: Disks that may be lost at the same time.
-        bind_ip: IP number that it binds; empty if it is `ip`.
+        metrics_port: Port of the metrics endpoint; 0 for none.
+        may_bootstrap: Whether the system starts for the first time.
+        data_folder: Data folder on disk.
+        heartbeat_s: Interval of backend servers' heartbeats, in seconds.
+        max_lost_disks: Number of disks that may be lost at the same time.
+        bind_ip: IP address to bind; empty if it is `ip`.
     """
 
     vm: str
@@ -102,7 +102,7 @@
 
     @property
     def listen_ip(self) -> str:
-        """The IP number on which it listens."""
+        """The IP address on which the process listens."""
         return self.bind_ip or self.ip
 
 
@@ -113,7 +113,7 @@
         self,
         settings: Settings,
         *,
-        dialect: server_codec_module.ServerCodec,
+        server_codec: server_codec_module.ServerCodec,
         read_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
@@ -124,31 +124,31 @@
         """Makes a coordinator; `run` starts it.
 
         Args:
-            settings: What it is told.
-            dialect: Names and formats of backend servers.
-            read_document: Reads a whole configuration.
-            make_app: Makes the interface for backend servers and operators.
-            reload: Reads the settings again.
-            log: Where decisions are written.
+            settings: Its settings.
+            server_codec: Encodes and decodes calls to backend servers.
+            read_document: Decodes a complete configuration.
+            make_app: Makes the API for backend servers and operators.
+            reload: Loads the settings again.
+            log: Log of decisions.
         """
         self.settings = settings
         self._node = nodes.make_node_name(
             settings.zone, settings.vm, nodes.COORDINATOR
         )
         self._log = log
-        self._dialect = dialect
+        self._server_codec = server_codec
         self._reload = reload
         self._make_app = make_app
         self._rng = random.Random(f"{self._node} {clock.read_wall()}")
         self._stop = asyncio.Event()
         self._folder = self._open_folder()
         self._disk_failed_at: float | None = None
-        self._calls: set[asyncio.Task[None]] = set()
-        self._waiting: dict[str, asyncio.Future[Any]] = {}
-        self._count = 0
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._pending_calls: dict[str, asyncio.Future[Any]] = {}
+        self._call_count = 0
         self._pool = upstream.Pool(settings.bind_ip)
-        self._tuning = attrs.evolve(
-            TUNING, min_voters=2 * settings.max_lost_disks + 1
+        self._voter_options = attrs.evolve(
+            VOTER_OPTIONS, min_voters=2 * settings.max_lost_disks + 1
         )
         address = f"{settings.ip}:{settings.peer_port}"
         self.role = coordinator_role.Coordinator(
@@ -166,12 +166,12 @@
             records=self._folder.records,
             rng=self._rng,
             now=clock.read_boottime(),
-            voter_options=self._tuning,
+            voter_options=self._voter_options,
         )
         data_folder = pathlib.Path(settings.data_folder)
-        self._servers_memo = saved_value.SavedValue(data_folder, "servers")
-        self._crashes_memo = saved_value.SavedValue(data_folder, "crashes")
-        self._recall()
+        self._saved_servers = saved_value.SavedValue(data_folder, "servers")
+        self._saved_crashes = saved_value.SavedValue(data_folder, "crashes")
+        self._restore_saved()
         self._peers = peers_module.Peers(
             node=self._node,
             address=address,
@@ -182,11 +182,11 @@
         )
 
     async def run(self) -> None:
-        """Serves until the process is asked to stop."""
+        """Serves until the process receives SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._take_new_settings)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         http = server_module.HttpServer(
             self._make_app(self),
             self.settings.listen_ip,
@@ -194,64 +194,64 @@
         )
         await self._peers.start()
         await http.start()
-        scraped = await scrape.serve(
+        metrics_server = await scrape.serve(
             self._log,
             self.settings.listen_ip,
             self.settings.metrics_port,
-            self._gauge,
+            self._collect_gauges,
         )
         self._log.write(notes.note("started", node=self._node))
-        ticking = asyncio.ensure_future(
+        tick_task = asyncio.ensure_future(
             ticker.tick_forever(coordinator_role.TICK_S, self._tick, self._log)
         )
         await self._stop.wait()
-        ticking.cancel()
-        for task in self._calls:
+        tick_task.cancel()
+        for task in self._tasks:
             task.cancel()
         await http.close()
-        if scraped is not None:
-            await scraped.close()
+        if metrics_server is not None:
+            await metrics_server.close()
         await self._peers.close()
         self._pool.close()
         self._folder.close()
         self._log.write(notes.note("stopped"))
         self._log.flush()
 
-    # For the interface of backend servers and operators.
+    # For the API of backend servers and operators.
 
     def receive_heartbeat(self, instance: instances.Instance) -> None:
-        """Takes a heartbeat of a backend server."""
+        """Handles a heartbeat of a backend server."""
         self.apply(events.HeartbeatArrived(instance))
 
     def deregister(self, name: str, born: int) -> None:
-        """Takes that a backend server leaves for good."""
+        """Records that a backend server has left for good."""
         self.apply(events.InstanceLeft(name, born))
 
     async def replace_configuration(self, version: int, content: bytes) -> bool:
-        """Takes a whole configuration; says whether it lasts for sure."""
-        token, future = self._make_call()
+        """Replaces the configuration; returns whether it is certain to last."""
+        token, future = self._register_call()
         self.apply(events.ReplaceRequested(token, version, content))
         return bool(await future)
 
     async def read_configuration(self) -> tuple[int, bytes] | None:
-        """Returns the newest configuration; None if that is not known."""
-        token, future = self._make_call()
+        """Returns the latest configuration; None if it is not known."""
+        token, future = self._register_call()
         self.apply(events.ReadRequested(token))
         return await future
 
-    def _make_call(self) -> tuple[str, asyncio.Future[Any]]:
-        self._count += 1
-        token = f"{self._node}.{self._folder.incarnation}.{self._count}"
+    def _register_call(self) -> tuple[str, asyncio.Future[Any]]:
+        self._call_count += 1
+        token = f"{self._node}.{self._folder.incarnation}.{self._call_count}"
         future: asyncio.Future[Any] = asyncio.Future()
-        self._waiting[token] = future
+        self._pending_calls[token] = future
         return token, future
 
-    def _end_call(self, token: str, answer: Any) -> None:
-        future = self._waiting.pop(token, None)
+    def _complete_call(self, token: str, outcome: Any) -> None:
+        future = self._pending_calls.pop(token, None)
         if future is not None and not future.done():
-            future.set_result(answer)
+            future.set_result(outcome)
 
-    def _gauge(self) -> dict[str, float]:
+    def _collect_gauges(self) -> dict[str, float]:
         now = clock.read_boottime()
         present = self.role.registry.list_present()
         serving = [i for i in present if i.member.state == instances.GROUP_OPEN]
@@ -270,7 +270,7 @@
     # Events and effects.
 
     def apply(self, event: coordinator_role.CoordinatorEvent) -> None:
-        """Gives an event to the reducer and carries out its effects."""
+        """Passes an event to the reducer and carries out its effects."""
         now = clock.read_boottime()
         effects = self.role.reduce(event, now)
         try:
@@ -279,7 +279,7 @@
             if self._folder.needs_compaction():
                 self._folder.rewrite(self.role.voter.export_records())
         except OSError as error:
-            self._lose_disk(error, now)
+            self._handle_disk_failure(error, now)
 
     def _carry_out(self, effect: coordinator_role.CoordinatorEffect) -> None:
         match effect:
@@ -295,21 +295,23 @@
                 if self._disk_failed_at is None:
                     self._folder.persist(record)
             case events.SaveInstances(known):
-                news = fleet_messages.InstanceNews(self._node, known)
-                self._remember(self._servers_memo, news)
+                update = fleet_messages.InstanceNews(self._node, known)
+                self._save(self._saved_servers, update)
             case events.SaveCrashes(known):
-                self._remember(self._crashes_memo, known)
+                self._save(self._saved_crashes, known)
             case events.AnswerReplace(token, accepted):
-                self._end_call(token, accepted and self._disk_failed_at is None)
+                self._complete_call(
+                    token, accepted and self._disk_failed_at is None
+                )
             case events.AnswerRead(token, version, content):
                 if content is None or self._disk_failed_at is not None:
-                    self._end_call(token, None)
+                    self._complete_call(token, None)
                 else:
-                    self._end_call(token, (version, content))
+                    self._complete_call(token, (version, content))
             case orders.SendOrder():
-                self._start(self._post(effect))
+                self._start_task(self._post(effect))
             case orders.RequestReport():
-                self._start(self._ask(effect))
+                self._start_task(self._request_report(effect))
 
     def _receive(self, sender: str, message: interface.Message) -> None:
         if self._disk_failed_at is not None and isinstance(
@@ -320,21 +322,21 @@
 
     def _tick(self) -> None:
         if self._disk_failed_at is not None:
-            self._try_disk()
+            self._retry_disk()
         self.apply(interface.Tick(clock.read_wall()))
 
     # The disk.
 
-    def _recall(self) -> None:
+    def _restore_saved(self) -> None:
         now = clock.read_boottime()
-        servers = self._read(self._servers_memo)
+        servers = self._load(self._saved_servers)
         if isinstance(servers, fleet_messages.InstanceNews):
             self.role.registry.restore(servers.news, now)
-        crashes = self._read(self._crashes_memo)
+        crashes = self._load(self._saved_crashes)
         if isinstance(crashes, crash_messages.CrashNews):
             self.role.crashes.restore(crashes, now)
 
-    def _read(self, source: saved_value.SavedValue) -> interface.Message | None:
+    def _load(self, source: saved_value.SavedValue) -> interface.Message | None:
         if source.value is None:
             return None
         match codec.decode_envelope(source.value):
@@ -344,14 +346,14 @@
                 self._log.write(notes.note("memo_unreadable", why=problem))
         return None
 
-    def _remember(
+    def _save(
         self, target: saved_value.SavedValue, message: interface.Message
     ) -> None:
         value = codec.encode_envelope(codec.Envelope(self._node, "", message))
         try:
             target.save(value)
         except OSError as error:
-            # Of use only after a restart, and told anew by then.
+            # It is used only after a restart, and is reported anew by then.
             self._log.write(notes.note("memo_not_saved", why=str(error)))
 
     def _open_folder(self) -> folder_module.DataFolder:
@@ -359,21 +361,21 @@
             pathlib.Path(self.settings.data_folder), self._node
         )
 
-    def _lose_disk(self, error: OSError, now: float) -> None:
-        """Stops voting: what the voter believes to be on disk is not.
+    def _handle_disk_failure(self, error: OSError, now: float) -> None:
+        """Stops voting, since the voter's state now differs from the disk.
 
-        If it went on it could acknowledge a change that a restart takes back.
-        Everything else goes on; the voter begins anew from what the disk
-        really holds once it takes writes again.
+        If it continued it could acknowledge a change that is lost at a
+        restart. Everything else continues; once the disk accepts writes again,
+        the voter restarts from the records on it.
         """
         self._disk_failed_at = now
         self._log.write(
             notes.note("disk_failed", level="error", why=str(error))
         )
-        for token in list(self._waiting):
-            self._end_call(token, None)
+        for token in list(self._pending_calls):
+            self._complete_call(token, None)
 
-    def _try_disk(self) -> None:
+    def _retry_disk(self) -> None:
         now = clock.read_boottime()
         assert self._disk_failed_at is not None
         if now - self._disk_failed_at < DISK_RETRY_S:
@@ -388,16 +390,16 @@
             return
         self._disk_failed_at = None
         self.role.restart_voter(
-            self._folder.records, self._rng, now, self._tuning
+            self._folder.records, self._rng, now, self._voter_options
         )
         self._log.write(notes.note("disk_regained"))
 
     # Backend servers.
 
-    def _start(self, call: Any) -> None:
-        task = asyncio.ensure_future(call)
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.ensure_future(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _call(
         self,
@@ -406,79 +408,84 @@
         call: server_codec_module.HttpCall,
         timeout_s: float,
     ) -> tuple[calls.Response | calls.NoResponse, bool]:
-        """Calls a server; returns the answer, and if the call was refused."""
+        """Calls a server; returns the response, and if it refused the call."""
         born = self.role.registry.find_born(name)
-        answer = await calls.make_call(self._pool, address, call, timeout_s)
-        if isinstance(answer, calls.NoResponse):
-            return answer, False
-        said = self._dialect.decode_notice(answer.status, answer.headers)
-        if said != server_codec_module.Notice():
+        response = await calls.make_call(self._pool, address, call, timeout_s)
+        if isinstance(response, calls.NoResponse):
+            return response, False
+        notice = self._server_codec.decode_notice(
+            response.status, response.headers
+        )
+        if notice != server_codec_module.Notice():
             self.apply(
                 orders.NoticeArrived(
-                    name, born, said.retry_after_s, said.is_leaving
+                    name, born, notice.retry_after_s, notice.is_leaving
                 )
             )
-        return answer, said.retry_after_s is not None
+        return response, notice.retry_after_s is not None
 
-    async def _post(self, give: orders.SendOrder) -> None:
-        answer, _ = await self._call(
-            give.name,
-            give.address,
-            self._dialect.encode_order(give),
+    async def _post(self, effect: orders.SendOrder) -> None:
+        response, _ = await self._call(
+            effect.name,
+            effect.address,
+            self._server_codec.encode_order(effect),
             ORDER_TIMEOUT_S,
         )
         status = 0
-        match answer:
+        match response:
             case calls.Response(status):
                 pass
             case calls.NoResponse(reason):
                 self._log.write(
-                    notes.note("order_unanswered", server=give.name, why=reason)
+                    notes.note(
+                        "order_unanswered", server=effect.name, why=reason
+                    )
                 )
-        self.apply(orders.OrderAnswered(give.name, give.order, status))
+        self.apply(orders.OrderAnswered(effect.name, effect.order, status))
 
-    async def _ask(self, question: orders.RequestReport) -> None:
-        answer, is_turned_away = await self._call(
-            question.name,
-            question.address,
-            self._dialect.encode_report_request(),
+    async def _request_report(self, effect: orders.RequestReport) -> None:
+        response, is_refused = await self._call(
+            effect.name,
+            effect.address,
+            self._server_codec.encode_report_request(),
             REPORT_TIMEOUT_S,
         )
         report = None
-        match answer:
+        match response:
             case calls.Response(200, body):
-                report = self._dialect.decode_report(body)
+                report = self._server_codec.decode_report(body)
                 if report is None:
                     self._log.write(
-                        notes.note("report_unreadable", server=question.name)
+                        notes.note("report_unreadable", server=effect.name)
                     )
             case calls.Response(status):
-                # Another server has the address by now, or wants no calls.
+                # Another server has this address now, or this one refuses
+                # calls.
                 self._log.write(
                     notes.note(
-                        "report_refused", server=question.name, status=status
+                        "report_refused", server=effect.name, status=status
                     )
                 )
             case calls.NoResponse(reason):
                 self._log.write(
                     notes.note(
-                        "report_unanswered", server=question.name, why=reason
+                        "report_unanswered", server=effect.name, why=reason
                     )
                 )
         if report is None:
             arrived = orders.ReportArrived(
-                question.name, None, is_turned_away=is_turned_away
+                effect.name, None, is_turned_away=is_refused
             )
         else:
             arrived = orders.ReportArrived(
-                question.name,
+                effect.name,
                 report.accepted,
                 report.born,
                 member=report.member,
             )
         self.apply(arrived)
 
-    def _take_new_settings(self) -> None:
+    def _reload_settings(self) -> None:
         try:
             settings = self._reload()
         except errors.SettingsError as error:
--- a/src/hickorylead/runtime/entry.py
+++ b/src/hickorylead/runtime/entry.py
@@ -1,4 +1,4 @@
-"""The shell of an entry: its sockets, its clock, and its reducer."""
+"""The entry process: its sockets, its clock, and its reducer."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         """Makes an entry; `run` starts it.
 
         Args:
-            settings: Checked values of `settings.roles.ENTRY_OPTIONS`.
+            settings: Validated values of `settings.roles.ENTRY_OPTIONS`.
         """
         self.settings = settings
         self.node = nodes.make_node_name(
@@ -64,9 +64,11 @@
         self.bootstraps: waiters.Waiters[interface.AnswerBootstrap] = (
             waiters.Waiters()
         )
-        self._answering: dict[str, response_queue_module.ResponseQueue] = {}
+        self._response_queues: dict[
+            str, response_queue_module.ResponseQueue
+        ] = {}
         self._boot = int(clock.read_wall() * 1000)
-        self._count = 0
+        self._request_count = 0
         self._stopped = asyncio.Event()
         self._peers = peers_module.Peers(
             node=self.node,
@@ -77,7 +79,7 @@
         )
 
     async def run(self) -> None:
-        """Serves until the process is asked to stop, then drains."""
+        """Serves until the process has to stop, then drains."""
         self._backends = backends_module.Backends(
             deliver=self.apply, tracer=self.tracer
         )
@@ -90,10 +92,10 @@
         await http.start()
         self.log.info("started", node=self.node)
         stop = asyncio.Event()
-        ticking = asyncio.create_task(self._tick())
-        process.end_with(ticking, stop)
+        tick_task = asyncio.create_task(self._tick())
+        process.stop_on_failure(tick_task, stop)
         tasks = [
-            ticking,
+            tick_task,
             asyncio.create_task(
                 process.export_traces(
                     self.tracer, self.settings["trace_endpoint"]
@@ -104,7 +106,7 @@
         self.log.info("stopping", open=self.role.dispatcher.count_open())
         http.stop_listening()
         self.apply(interface.StopRequested())
-        if not ticking.done():
+        if not tick_task.done():
             await self._drain()
         await http.close()
         for task in tasks:
@@ -112,41 +114,41 @@
         await self._peers.close()
         await self._backends.close()
         self.log.info("stopped")
-        if ticking.done() and not ticking.cancelled():
-            ticking.result()
+        if tick_task.done() and not tick_task.cancelled():
+            tick_task.result()
 
     async def _drain(self) -> None:
-        """Waits until every request has its final answer, or long enough."""
+        """Waits for all final responses, or until the drain time is over."""
         try:
             async with asyncio.timeout(self.settings["drain_s"]):
                 await self._stopped.wait()
         except TimeoutError:
             self.log.warn(
-                "requests cut by the end of the drain time",
+                "requests aborted at the end of the drain time",
                 open=self.role.dispatcher.count_open(),
             )
 
     def make_request_id(self) -> str:
         """Returns an id for a new request."""
-        self._count += 1
-        return nodes.make_request_id(self.node, self._boot, self._count)
+        self._request_count += 1
+        return nodes.make_request_id(self.node, self._boot, self._request_count)
 
     def open_response(
         self, request_id: str, service: str
     ) -> response_queue_module.ResponseQueue:
-        """Makes the place where a request's effects arrive."""
-        answering = self._answering[request_id] = (
+        """Adds the queue that receives the effects of a request."""
+        response_queue = self._response_queues[request_id] = (
             response_queue_module.ResponseQueue(service)
         )
-        return answering
+        return response_queue
 
     def close_response(self, request_id: str) -> None:
-        """Forgets a request; if it had no final answer, its caller left."""
-        if self._answering.pop(request_id, None) is not None:
+        """Removes a request; without a final response its caller is gone."""
+        if self._response_queues.pop(request_id, None) is not None:
             self.apply(events.CallerDisconnected(request_id))
 
     def apply(self, event: interface.EntryEvent) -> None:
-        """Gives an event to the reducer and carries out its effects."""
+        """Passes an event to the reducer and carries out its effects."""
         for effect in self.role.reduce(event, clock.read_monotonic()):
             self._carry_out(effect)
 
@@ -161,46 +163,48 @@
     def _carry_out(self, effect: interface.EntryEffect) -> None:
         match effect:
             case events.EmitText(request_id):
-                self._give(request_id, effect)
+                self._deliver_effect(request_id, effect)
             case interface.Send(node, message):
                 self._peers.send(node, message)
             case events.StartAttempt():
                 if effect.attempt_number > 1:
                     self.metrics.count_retry(effect.request.service)
-                self._backends.open(effect)
+                self._backends.start(effect)
             case events.CancelAttempt():
                 self._backends.cancel(effect)
             case events.FinishStream(request_id, _, usage):
                 tokens = usage.completion_tokens
-                self._end(request_id, Verdict.RAN, effect, tokens=tokens)
+                self._complete_request(
+                    request_id, Verdict.RAN, effect, tokens=tokens
+                )
             case events.SendResponse(request_id):
-                self._end(request_id, Verdict.RAN, effect)
+                self._complete_request(request_id, Verdict.RAN, effect)
             case events.Refuse(request_id, problem):
-                answering = self._answering.get(request_id)
-                if answering is not None:
-                    self.metrics.count_refusal(answering.service, problem)
-                self._end(
+                response_queue = self._response_queues.get(request_id)
+                if response_queue is not None:
+                    self.metrics.count_refusal(response_queue.service, problem)
+                self._complete_request(
                     request_id, problem.verdict, effect, reason=problem.code
                 )
             case notes.Note(event):
                 self.log.info(event, **effect.fields)
             case interface.AnswerChange(change_id):
-                self.changes.answer(change_id, effect)
+                self.changes.resolve(change_id, effect)
             case interface.AnswerStatus(token):
-                self.statuses.answer(token, effect)
+                self.statuses.resolve(token, effect)
             case interface.AnswerExplain(token):
-                self.explains.answer(token, effect)
+                self.explains.resolve(token, effect)
             case interface.AnswerBootstrap(cluster):
-                self.bootstraps.answer(cluster, effect)
+                self.bootstraps.resolve(cluster, effect)
             case interface.Stopped():
                 self._stopped.set()
 
-    def _give(self, request_id: str, effect: events.Effect) -> None:
-        answering = self._answering.get(request_id)
-        if answering is not None:
-            answering.effects.put_nowait(effect)
+    def _deliver_effect(self, request_id: str, effect: events.Effect) -> None:
+        response_queue = self._response_queues.get(request_id)
+        if response_queue is not None:
+            response_queue.effects.put_nowait(effect)
 
-    def _end(
+    def _complete_request(
         self,
         request_id: str,
         verdict: verdict_module.Verdict,
@@ -209,8 +213,8 @@
         tokens: int = 0,
         reason: str = "",
     ) -> None:
-        answering = self._answering.pop(request_id, None)
-        service = answering.service if answering else ""
+        response_queue = self._response_queues.pop(request_id, None)
+        service = response_queue.service if response_queue else ""
         self.metrics.count_request(service, verdict)
         if tokens:
             self.metrics.count_tokens(service, tokens)
@@ -221,5 +225,5 @@
             verdict=verdict.value,
             **({"reason": reason} if reason else {}),
         )
-        if answering is not None:
-            answering.effects.put_nowait(effect)
+        if response_queue is not None:
+            response_queue.effects.put_nowait(effect)
--- a/src/hickorylead/runtime/entry_api.py
+++ b/src/hickorylead/runtime/entry_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers and backend servers."""
+"""HTTP API for callers and backend servers."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 def make_app(
-    shell: entry.EntryProcess, more: Sequence[routing.Route]
+    process: entry.EntryProcess, operator_routes: Sequence[routing.Route]
 ) -> applications.Starlette:
     """Returns the application of an entry.
 
     Args:
-        shell: The entry.
-        more: Routes for operators.
+        process: The entry.
+        operator_routes: Routes for operators.
     """
-    views = _Views(shell)
+    views = _Views(process)
     return applications.Starlette(
         routes=[
             routing.Route(
@@ -53,10 +53,10 @@
             routing.Route(
                 "/backend/announcements", views.announce, methods=["POST"]
             ),
-            routing.Route("/healthz", views.tell_health, methods=["GET"]),
-            routing.Route("/readyz", views.tell_readiness, methods=["GET"]),
-            routing.Route("/metrics", views.tell_metrics, methods=["GET"]),
-            *more,
+            routing.Route("/healthz", views.get_health, methods=["GET"]),
+            routing.Route("/readyz", views.get_readiness, methods=["GET"]),
+            routing.Route("/metrics", views.get_metrics, methods=["GET"]),
+            *operator_routes,
         ]
     )
 
@@ -66,10 +66,10 @@
 ) -> result.Result[bytes, responses.Response]:
     """Returns a request body, or a refusal if it is larger than the limit."""
     body = bytearray()
-    async for piece in request.stream():
-        body += piece
+    async for chunk in request.stream():
+        body += chunk
         if len(body) > limit:
-            # The rest is not read: it could be without end.
+            # The rest is not read: it could be endless.
             return result.Failure(
                 problems.refuse_input(
                     413,
@@ -83,38 +83,40 @@
 class _Views:
     """The handlers, bound to one entry."""
 
-    def __init__(self, shell: entry.EntryProcess) -> None:
-        self._shell = shell
-        self._settings = shell.settings
+    def __init__(self, process: entry.EntryProcess) -> None:
+        self._process = process
+        self._settings = process.settings
 
     # Callers.
 
     async def complete(self, request: requests.Request) -> responses.Response:
         """Handles POST /v1/chat/completions."""
-        checked = await self._check_caller(request)
-        match checked:
+        decoded = await self._decode_common(request)
+        match decoded:
             case result.Failure(response):
                 return response
             case result.Success(base):
                 pass
-        match chat.read_chat(base.body):
+        match chat.decode_chat_request(base.body):
             case result.Failure(problem):
                 return problems.refuse_input(400, "bad_request", problem)
-            case result.Success(asked):
+            case result.Success(chat_request):
                 pass
-        if not self._is_kind(asked.service, configuration_model.KIND_MODEL):
-            return _refuse_unknown(asked.service)
+        if not self._is_kind(
+            chat_request.service, configuration_model.KIND_MODEL
+        ):
+            return _refuse_unknown(chat_request.service)
         submitted = attrs.evolve(
             base,
-            service=asked.service,
-            streamed=asked.streamed,
-            prompt_tokens=asked.prompt_tokens,
-            max_tokens=asked.max_tokens,
-            prefix_hashes=asked.prefixes,
+            service=chat_request.service,
+            streamed=chat_request.streamed,
+            prompt_tokens=chat_request.prompt_tokens,
+            max_tokens=chat_request.max_tokens,
+            prefix_hashes=chat_request.prefixes,
         )
-        if asked.streamed:
-            return await self._stream(submitted, asked.with_usage)
-        return await self._answer_whole(request, submitted)
+        if chat_request.streamed:
+            return await self._stream(submitted, chat_request.with_usage)
+        return await self._respond_complete(request, submitted)
 
     async def list_models(
         self, request: requests.Request
@@ -122,7 +124,7 @@
         """Handles GET /v1/models."""
         if self._find_workspace(request) is None:
             return _refuse_token()
-        services = self._shell.role.configuration.services
+        services = self._process.role.configuration.services
         data = [
             {"id": s.name, "object": "model", "owned_by": "hickorylead"}
             for s in services
@@ -132,9 +134,9 @@
         return responses.Response(body, media_type="application/json")
 
     async def call_plain(self, request: requests.Request) -> responses.Response:
-        """Handles calls of plain services, by path."""
-        checked = await self._check_caller(request)
-        match checked:
+        """Handles calls to plain services, by path."""
+        decoded = await self._decode_common(request)
+        match decoded:
             case result.Failure(response):
                 return response
             case result.Success(base):
@@ -150,20 +152,20 @@
             path=request.path_params["path"] + query,
             content_type=request.headers.get("content-type", ""),
         )
-        return await self._answer_whole(request, submitted)
+        return await self._respond_complete(request, submitted)
 
-    async def _check_caller(
+    async def _decode_common(
         self, request: requests.Request
     ) -> result.Result[model.Request, responses.Response]:
-        """Returns what all requests have in common, or why not."""
+        """Returns the fields common to all requests, or a refusal."""
         workspace = self._find_workspace(request)
         if workspace is None:
             return result.Failure(_refuse_token())
-        found = request.headers
+        received = request.headers
         deadline = headers.read_deadline(
-            found.get("prefer", ""), self._settings["default_deadline_s"]
+            received.get("prefer", ""), self._settings["default_deadline_s"]
         )
-        key = headers.read_key(found.get("idempotency-key", ""))
+        key = headers.read_key(received.get("idempotency-key", ""))
         for checked in (deadline, key):
             match checked:
                 case result.Failure(problem):
@@ -175,19 +177,21 @@
                 return result.Failure(response)
             case result.Success(body):
                 pass
-        given = key.unwrap()
+        idempotency_key = key.unwrap()
         return result.Success(
             model.Request(
-                request_id=self._shell.make_request_id(),
+                request_id=self._process.make_request_id(),
                 workspace=workspace,
                 service="",
-                urgency=headers.read_urgency(found.get("priority", "")),
+                urgency=headers.read_urgency(received.get("priority", "")),
                 deadline_s=deadline.unwrap(),
                 body=body,
-                idempotency_key=given.text if given else "",
-                key_created_at=given.made_at if given else 0.0,
+                idempotency_key=idempotency_key.text if idempotency_key else "",
+                key_created_at=idempotency_key.made_at
+                if idempotency_key
+                else 0.0,
                 traceparent=headers.read_traceparent(
-                    found.get("traceparent", "")
+                    received.get("traceparent", "")
                 ),
             )
         )
@@ -197,29 +201,29 @@
         return headers.find_workspace(authorization, self._settings["tokens"])
 
     def _is_kind(self, name: str, kind: str) -> bool:
-        service = self._shell.role.configuration.find_service(name)
+        service = self._process.role.configuration.find_service(name)
         return service is not None and service.kind == kind
 
     def _submit(
         self, submitted: model.Request
     ) -> response_queue_module.ResponseQueue:
-        answering = self._shell.open_response(
+        response_queue = self._process.open_response(
             submitted.request_id, submitted.service
         )
-        self._shell.apply(events.RequestArrived(submitted, clock.read_wall()))
-        return answering
+        self._process.apply(events.RequestArrived(submitted, clock.read_wall()))
+        return response_queue
 
     async def _stream(
         self, submitted: model.Request, with_usage: bool
     ) -> responses.Response:
-        span = self._shell.tracer.start("entry", submitted.traceparent)
+        span = self._process.tracer.start("entry", submitted.traceparent)
         span.set_attribute("hickorylead.request", submitted.request_id)
         submitted = attrs.evolve(submitted, traceparent=span.traceparent)
-        answering = self._submit(submitted)
+        response_queue = self._submit(submitted)
         try:
-            first = await answering.effects.get()
+            first = await response_queue.effects.get()
         except asyncio.CancelledError:
-            self._shell.close_response(submitted.request_id)
+            self._process.close_response(submitted.request_id)
             span.end()
             raise
         if isinstance(first, events.Refuse):
@@ -246,9 +250,9 @@
                                 problems.describe_problem(problem, request_id)
                             )
                             return
-                    effect = await answering.effects.get()
+                    effect = await response_queue.effects.get()
             finally:
-                self._shell.close_response(submitted.request_id)
+                self._process.close_response(submitted.request_id)
                 span.end()
 
         return responses.StreamingResponse(
@@ -257,45 +261,47 @@
             headers={"Request-Id": submitted.request_id},
         )
 
-    async def _answer_whole(
+    async def _respond_complete(
         self, request: requests.Request, submitted: model.Request
     ) -> responses.Response:
-        span = self._shell.tracer.start("entry", submitted.traceparent)
+        span = self._process.tracer.start("entry", submitted.traceparent)
         span.set_attribute("hickorylead.request", submitted.request_id)
         submitted = attrs.evolve(submitted, traceparent=span.traceparent)
-        answering = self._submit(submitted)
-        watch = asyncio.create_task(self._watch_caller(request, submitted))
+        response_queue = self._submit(submitted)
+        watch_task = asyncio.create_task(
+            self._watch_disconnect(request, submitted)
+        )
         try:
-            return await self._collect(answering, submitted)
+            return await self._collect(response_queue, submitted)
         finally:
-            watch.cancel()
-            self._shell.close_response(submitted.request_id)
+            watch_task.cancel()
+            self._process.close_response(submitted.request_id)
             span.end()
 
-    async def _watch_caller(
+    async def _watch_disconnect(
         self, request: requests.Request, submitted: model.Request
     ) -> None:
         while (await request.receive())["type"] != "http.disconnect":
             pass
-        self._shell.close_response(submitted.request_id)
+        self._process.close_response(submitted.request_id)
 
     async def _collect(
         self,
-        answering: response_queue_module.ResponseQueue,
+        response_queue: response_queue_module.ResponseQueue,
         submitted: model.Request,
     ) -> responses.Response:
-        pieces: list[str] = []
+        texts: list[str] = []
         request_id = submitted.request_id
         while True:
-            match await answering.effects.get():
+            match await response_queue.effects.get():
                 case events.EmitText(_, text):
-                    pieces.append(text)
+                    texts.append(text)
                 case events.FinishStream(_, reason, usage):
-                    body = chat.render_whole(
+                    body = chat.render_completion(
                         request_id,
                         submitted.service,
                         int(clock.read_wall()),
-                        "".join(pieces),
+                        "".join(texts),
                         reason,
                         usage,
                     )
@@ -305,12 +311,12 @@
                         media_type="application/json",
                     )
                 case events.SendResponse(_, status, content_type, body, replay):
-                    found = {"Request-Id": request_id}
+                    fields = {"Request-Id": request_id}
                     if content_type:
-                        found["Content-Type"] = content_type
+                        fields["Content-Type"] = content_type
                     if replay:
-                        found["Idempotency-Replayed"] = "true"
-                    return responses.Response(body, status, found)
+                        fields["Idempotency-Replayed"] = "true"
+                    return responses.Response(body, status, fields)
                 case events.Refuse(_, problem):
                     return problems.make_response(problem, request_id)
 
@@ -339,42 +345,42 @@
                 "wrong_zone",
                 f"this entry serves zone {self._settings['zone']}",
             )
-        self._shell.apply(interface.AnnouncementArrived(announcement))
+        self._process.apply(interface.AnnouncementArrived(announcement))
         return responses.Response(status_code=204)
 
-    async def tell_health(self, _: requests.Request) -> responses.Response:
-        """Handles GET /healthz: the process runs."""
+    async def get_health(self, _: requests.Request) -> responses.Response:
+        """Handles GET /healthz: the process is running."""
         return responses.PlainTextResponse("ok\n")
 
-    async def tell_readiness(self, _: requests.Request) -> responses.Response:
-        """Handles GET /readyz: callers may be sent here."""
-        if self._shell.role.is_ready():
+    async def get_readiness(self, _: requests.Request) -> responses.Response:
+        """Handles GET /readyz: the entry accepts requests of callers."""
+        if self._process.role.is_ready():
             return responses.PlainTextResponse("ready\n")
         return responses.PlainTextResponse("not ready\n", 503)
 
-    async def tell_metrics(
+    async def get_metrics(
         self, request: requests.Request
     ) -> responses.Response:
         """Handles GET /metrics."""
-        role, metrics = self._shell.role, self._shell.metrics
+        role, metrics = self._process.role, self._process.metrics
         metrics.set_open_requests(role.dispatcher.count_open())
         metrics.set_version(role.configuration.version)
         for zone, table in role.table.zones.items():
             metrics.set_replicas(zone, len(table.replicas))
-        for service, waiting in role.dispatcher.queues.items():
-            counts = waiting.count_by_urgency()
+        for service, queue in role.dispatcher.queues.items():
+            counts = queue.count_by_urgency()
             for urgency in range(model.URGENCY_LOWEST + 1):
                 metrics.set_queued_requests(
                     service, urgency, counts.get(urgency, 0)
                 )
         accept = request.headers.get("accept", "text/plain")
-        body, found = metrics.render([accept])
-        return responses.Response(body, headers=found)
+        body, fields = metrics.render([accept])
+        return responses.Response(body, headers=fields)
 
 
 def _refuse_token() -> responses.Response:
     return problems.refuse_input(
-        401, "unknown_token", "the bearer token is missing or not known"
+        401, "unknown_token", "the bearer token is missing or unknown"
     )
 
 
--- a/src/hickorylead/runtime/forwarding.py
+++ b/src/hickorylead/runtime/forwarding.py
@@ -1,4 +1,4 @@
-"""The callers' side of a gateway: an ASGI application that forwards."""
+"""ASGI application of a gateway that forwards callers' requests."""
 
 from __future__ import annotations
 
@@ -21,94 +21,100 @@
     from collections.abc import Callable
 
     from hickorylead.forwarding import header_codec as header_codec_module
-    from hickorylead.runtime import gateway as gateway_shell
+    from hickorylead.runtime import gateway as gateway_module
 
-# A gateway that has started with all others has a configuration 0.6 to 1.2 s
-# after it can answer (seen after a loss of power). A request waits for that for
-# this long, in seconds, and for this share of its caller's time: by then most
-# callers come with their last try, and one that is told to come back is lost.
+# When all nodes start together, as after a power failure, a gateway receives a
+# configuration 0.6 to 1.2 s after it accepts requests. A request waits for it
+# at most this long, in seconds, and at most this share of its caller's time: by
+# then most callers make their last attempt, and a request refused with a
+# Retry-After is lost.
 START_WAIT_S = 1.5
 START_WAIT_SHARE = 1 / 3
-# When it is told to come back then, in seconds; spread by 0.3 of it.
+# Retry-After of that refusal, in seconds, with a jitter of 0.3 of it.
 STARTING_RETRY_S = 1.0
 
 
 class AttemptReceiver:
-    """One try at a replica: turns what comes into events."""
+    """Turns what a replica sends in one attempt into events."""
 
     def __init__(
         self,
-        opened: events.StartAttempt,
+        attempt: events.StartAttempt,
         *,
-        dialect: header_codec_module.HeaderCodec,
+        header_codec: header_codec_module.HeaderCodec,
         deliver: Callable[[events.Event], None],
     ) -> None:
         """Makes a receiver.
 
         Args:
-            opened: The try.
-            dialect: Reads the head of the answer.
-            deliver: Takes the events.
+            attempt: The attempt.
+            header_codec: Decodes the head of the response.
+            deliver: Called with each event.
         """
-        self._id = opened.request.request_id
-        self._number = opened.attempt
-        self._dialect = dialect
+        self._id = attempt.request.request_id
+        self._number = attempt.attempt
+        self._header_codec = header_codec
         self._deliver = deliver
 
     def on_headers(self, status: int, headers: list[model.Header]) -> None:
-        """Takes status and headers."""
-        head = self._dialect.decode_response_head(status, headers)
+        """Handles status and headers."""
+        head = self._header_codec.decode_response_head(status, headers)
         self._deliver(events.ResponseHeadArrived(self._id, self._number, head))
 
     def on_body_chunk(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a chunk of the body."""
         self._deliver(events.ChunkArrived(self._id, self._number, data))
 
     def on_complete(self) -> None:
-        """Takes the news that the answer is whole."""
+        """Handles the end of a complete response."""
         self._deliver(events.ResponseCompleted(self._id, self._number))
 
     def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
-        """Takes the news that there will be no whole answer."""
+        """Handles the end of an attempt without a complete response."""
         self._deliver(
             events.AttemptFailed(self._id, self._number, verdict, reason)
         )
 
 
 class ResponseWriter:
-    """The way to one caller: what it is given, in order.
+    """Writes the response to one caller, in the order of its effects.
 
-    A piece of a stream is written at once where the connection takes it. By
-    way of the task that waits for effects, each of them took another turn of
-    the loop: 2.2 for each piece, 1.2 without.
+    A chunk of a stream is written at once if the connection can take it. If
+    each chunk passed through the task that waits for effects, it would need
+    another iteration of the event loop: 2.2 per chunk instead of 1.2.
     """
 
     def __init__(
-        self, scope: Any, send: Any, tell: Callable[[notes.Note], None]
+        self,
+        scope: Any,
+        send: Any,
+        write_log: Callable[[notes.Note], None],
     ) -> None:
-        """Makes the way to a caller that has got nothing yet.
+        """Makes the writer of a response that has not started yet.
 
         Args:
             scope: ASGI scope of its request.
             send: Sends an ASGI message.
-            tell: Takes log lines.
+            write_log: Called with log lines.
         """
-        self._tell = tell
+        self._write_log = write_log
         extensions = scope.get("extensions") or {}
-        found = extensions.get(listener.CONNECTION_KEY) or {}
-        self._connection: listener.CallerProtocol | None = found.get("protocol")
+        extension = extensions.get(listener.CONNECTION_KEY) or {}
+        self._connection: listener.CallerProtocol | None = extension.get(
+            "protocol"
+        )
         self._send = send
         self._effects: asyncio.Queue[events.Effect] = asyncio.Queue()
-        # Whether the task has an effect that is not sent yet; what comes
-        # after it must not overtake it.
+        # Whether the task still has an effect to send; later effects must not
+        # overtake it.
         self._is_sending = False
         self.has_failed = False
 
     def write(self, effect: events.Effect) -> None:
-        """Gives the caller an effect, now or after those before it."""
+        """Sends an effect to the caller, now or after the queued ones."""
         if self.has_failed:
             return
-        if self._is_free() and isinstance(
+        if self._can_write_now() and isinstance(
             effect, events.StartResponse | events.WriteChunk
         ):
             self._write_now(effect)
@@ -118,23 +124,24 @@
     def _write_now(
         self, effect: events.StartResponse | events.WriteChunk
     ) -> None:
-        """Sends a piece without a wait.
+        """Sends an effect without waiting.
 
-        What goes wrong concerns this caller alone: raised here, it would end
-        the turn of the reducer, and other callers would miss their effects.
+        An error concerns this caller alone: raised here, it would abort the
+        processing of the reducer's effects, and other callers would miss
+        theirs.
         """
-        sending = self._send(_write_message(effect))
+        sending = self._send(_make_message(effect))
         try:
             sending.send(None)
         except StopIteration:
             return
-        except Exception as error:  # noqa: BLE001 - told, and this answer ends
+        except Exception as error:  # noqa: BLE001 - logged; ends the response
             why = repr(error)
         else:
             sending.close()
-            why = "the connection did not take it at once"
+            why = "the connection could not send it at once"
         self.has_failed = True
-        self._tell(
+        self._write_log(
             notes.Note(
                 "answer_not_sent", effect.request_id, {"why": why}, "error"
             )
@@ -142,25 +149,25 @@
         self._effects.put_nowait(events.AbortResponse(effect.request_id))
 
     async def run(self) -> events.Refuse | None:
-        """Sends until the answer is over; returns a refusal to be sent."""
+        """Sends until the response ends; returns a refusal to be sent."""
         while True:
             effect = await self._effects.get()
             self._is_sending = True
             match effect:
                 case events.StartResponse() | events.WriteChunk():
-                    await self._send(_write_message(effect))
+                    await self._send(_make_message(effect))
                 case events.FinishResponse():
                     await self._send(_make_body(b"", more=False))
                     return None
                 case events.Refuse():
                     return effect
                 case events.AbortResponse():
-                    # Returning without the last piece closes the connection,
-                    # so that the answer does not look whole.
+                    # Returning without the last chunk closes the connection,
+                    # so that the response does not look complete.
                     return None
             self._is_sending = False
 
-    def _is_free(self) -> bool:
+    def _can_write_now(self) -> bool:
         return (
             self._connection is not None
             and not self._is_sending
@@ -169,18 +176,18 @@
         )
 
 
-def _write_message(
+def _make_message(
     effect: events.StartResponse | events.WriteChunk,
 ) -> dict[str, Any]:
     match effect:
         case events.StartResponse(_, status, headers, length):
-            found = [*headers]
+            fields = [*headers]
             if length is not None:
-                found.append((b"content-length", b"%d" % length))
+                fields.append((b"content-length", b"%d" % length))
             return {
                 "type": "http.response.start",
                 "status": status,
-                "headers": found,
+                "headers": fields,
             }
         case events.WriteChunk(_, data):
             return _make_body(data, more=True)
@@ -191,51 +198,53 @@
 
 
 class Application:
-    """Takes callers' requests, and gives them what the reducer decides."""
+    """Accepts callers' requests and sends the reducer's responses."""
 
     def __init__(
         self,
-        shell: gateway_shell.GatewayProcess,
-        dialect: header_codec_module.HeaderCodec,
+        process: gateway_module.GatewayProcess,
+        header_codec: header_codec_module.HeaderCodec,
     ) -> None:
         """Makes the application.
 
         Args:
-            shell: The gateway.
-            dialect: Names of headers.
+            process: The gateway.
+            header_codec: Encodes and decodes headers.
         """
-        self._shell = shell
-        self._dialect = dialect
+        self._process = process
+        self._header_codec = header_codec
         self._count = 0
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Handles one request."""
         if scope["type"] != "http":
             return
-        checked = await self._check(scope, receive)
-        if checked is None:
+        decoded = await self._make_request(scope, receive)
+        if decoded is None:
             return
-        if isinstance(checked, events.Refuse):
-            await self._send_refusal(send, checked, _find_attempt(scope, self))
+        if isinstance(decoded, events.Refuse):
+            await self._send_refusal(
+                send, decoded, _find_attempt_id(scope, self)
+            )
             return
-        await self._forward(checked, scope, receive, send)
+        await self._forward(decoded, scope, receive, send)
 
-    async def _check(
+    async def _make_request(
         self, scope: Any, receive: Any
     ) -> model.Request | events.Refuse | None:
-        """Returns the request, its refusal, or None if the caller left."""
-        terms = self._dialect.decode_metadata(scope["headers"])
-        if isinstance(terms, str):
+        """Returns the request, a refusal, or None after a disconnect."""
+        metadata = self._header_codec.decode_metadata(scope["headers"])
+        if isinstance(metadata, str):
             return events.Refuse("", 400, "bad_header")
         limit_s = START_WAIT_S
-        if terms.budget_s is not None:
-            limit_s = min(limit_s, START_WAIT_SHARE * terms.budget_s)
-        began = clock.read_boottime()
-        routes = await self._shell.wait_for_routes(limit_s)
-        waited_s = clock.read_boottime() - began
+        if metadata.budget_s is not None:
+            limit_s = min(limit_s, START_WAIT_SHARE * metadata.budget_s)
+        started_at = clock.read_boottime()
+        routes = await self._process.wait_for_routes(limit_s)
+        waited_s = clock.read_boottime() - started_at
         if routes is None:
             retry_s = refusals.jitter_retry_after(
-                terms.attempt_id, STARTING_RETRY_S
+                metadata.attempt_id, STARTING_RETRY_S
             )
             return events.Refuse("", 503, "starting", retry_s)
         path = scope["raw_path"].decode("latin-1")
@@ -245,9 +254,9 @@
             return None
         if isinstance(body, events.Refuse):
             return body
-        # The body may have taken its time; what is in force now counts.
-        routes = self._shell.role.routes or routes
-        match routes.find(host, path, terms.key):
+        # Receiving the body may have taken a while: the present routes apply.
+        routes = self._process.role.routes or routes
+        match routes.find(host, path, metadata.key):
             case routes_module.NoRoute():
                 return events.Refuse("", 404, "no_route")
             case routes_module.InvalidKey():
@@ -259,14 +268,14 @@
         self._count += 1
         name = workspace.name if workspace else ""
         return model.Request(
-            request_id=f"{self._shell.name}-{self._count:x}",
-            metadata=_strip_prompt(terms, route),
+            request_id=f"{self._process.name}-{self._count:x}",
+            metadata=_strip_model(metadata, route),
             route=route,
-            service=self._shell.choose_service(route),
+            service=self._process.choose_service(route),
             workspace=name,
             method=scope["method"],
             target=target,
-            headers=self._dialect.list_forwarded_headers(
+            headers=self._header_codec.list_forwarded_headers(
                 scope["headers"], name
             ),
             body=body,
@@ -277,62 +286,68 @@
     async def _forward(
         self, request: model.Request, scope: Any, receive: Any, send: Any
     ) -> None:
-        caller = ResponseWriter(scope, send, self._shell.write_log)
-        self._shell.response_writers[request.request_id] = caller
-        watching = asyncio.ensure_future(self._watch(request, receive))
+        writer = ResponseWriter(scope, send, self._process.write_log)
+        self._process.response_writers[request.request_id] = writer
+        watch_task = asyncio.ensure_future(
+            self._watch_disconnect(request, receive)
+        )
         try:
-            self._shell.apply(events.RequestArrived(request))
-            refusal = await caller.run()
+            self._process.apply(events.RequestArrived(request))
+            refusal = await writer.run()
             if refusal is not None:
                 await self._send_refusal(
                     send, refusal, request.metadata.attempt_id
                 )
         finally:
-            watching.cancel()
-            self._shell.response_writers.pop(request.request_id, None)
-            if caller.has_failed:
-                # Its replica need not go on.
-                self._shell.apply(events.CallerDisconnected(request.request_id))
-
-    async def _watch(self, request: model.Request, receive: Any) -> None:
-        """Tells the reducer when the caller has closed its connection."""
+            watch_task.cancel()
+            self._process.response_writers.pop(request.request_id, None)
+            if writer.has_failed:
+                # The replica need not continue.
+                self._process.apply(
+                    events.CallerDisconnected(request.request_id)
+                )
+
+    async def _watch_disconnect(
+        self, request: model.Request, receive: Any
+    ) -> None:
+        """Notifies the reducer when the caller closes its connection."""
         while (await receive())["type"] != "http.disconnect":
             pass
-        self._shell.apply(events.CallerDisconnected(request.request_id))
-        caller = self._shell.response_writers.get(request.request_id)
-        if caller is not None:
-            caller.write(events.AbortResponse(request.request_id))
+        self._process.apply(events.CallerDisconnected(request.request_id))
+        writer = self._process.response_writers.get(request.request_id)
+        if writer is not None:
+            writer.write(events.AbortResponse(request.request_id))
 
     async def _send_refusal(
         self, send: Any, refusal: events.Refuse, attempt_id: str
     ) -> None:
-        headers, body = self._dialect.write_refusal(refusal, attempt_id)
-        found = [*headers, (b"content-length", b"%d" % len(body))]
+        headers, body = self._header_codec.write_refusal(refusal, attempt_id)
+        fields = [*headers, (b"content-length", b"%d" % len(body))]
         await send(
             {
                 "type": "http.response.start",
                 "status": refusal.status,
-                "headers": found,
+                "headers": fields,
             }
         )
         await send(_make_body(body, more=False))
 
 
 async def _read_body(receive: Any, limit: int) -> bytes | events.Refuse | None:
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
             return None
-        piece = message.get("body", b"")
-        size += len(piece)
+        chunk = message.get("body", b"")
+        size += len(chunk)
         if size > limit:
-            # The rest is not read: it could be without end.
+            # The rest is not read: it could be endless.
             return events.Refuse("", 413, "body_too_large")
-        pieces.append(piece)
+        chunks.append(chunk)
         if not message.get("more_body"):
-            return b"".join(pieces)
+            return b"".join(chunks)
 
 
 def _find_header(scope: Any, wanted: bytes) -> bytes:
@@ -342,16 +357,16 @@
     return b""
 
 
-def _find_attempt(scope: Any, application: Application) -> str:
-    terms = application._dialect.decode_metadata(scope["headers"])
-    return "" if isinstance(terms, str) else terms.attempt_id
+def _find_attempt_id(scope: Any, application: Application) -> str:
+    metadata = application._header_codec.decode_metadata(scope["headers"])
+    return "" if isinstance(metadata, str) else metadata.attempt_id
 
 
-def _strip_prompt(
-    terms: model.RequestMetadata, route: document_module.Route
+def _strip_model(
+    metadata: model.RequestMetadata, route: document_module.Route
 ) -> model.RequestMetadata:
-    """Returns the terms without a model where the route has no models."""
-    return terms if route.has_prompts else attrs.evolve(terms, model="")
+    """Returns the metadata, without a model if the route has none."""
+    return metadata if route.has_prompts else attrs.evolve(metadata, model="")
 
 
 def _choose_urgency(
--- a/src/hickorylead/runtime/gateway.py
+++ b/src/hickorylead/runtime/gateway.py
@@ -1,4 +1,4 @@
-"""The shell of a gateway: listeners, connections to replicas, signals."""
+"""The gateway process: listeners, connections to replicas, signals."""
 
 from __future__ import annotations
 
@@ -36,31 +36,33 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.forwarding import header_codec as header_codec_module
 
-# A balancer that asks once a second and takes a node out after two misses
-# sends new connections for up to this long after the first miss, in seconds.
-BALANCER_S = 2.6
-# What is left of the time until SIGKILL for the process to end, in seconds.
-END_MARGIN_S = 0.5
+# A balancer that probes once a second and removes a node after two failed
+# probes sends new connections for up to this long after the first one, in
+# seconds.
+BALANCER_DETECTION_S = 2.6
+# Part of the time until SIGKILL that is reserved for ending the process, in
+# seconds.
+SHUTDOWN_MARGIN_S = 0.5
 POLL_S = 0.05
 CLOSE_IDLE_PERIOD_S = 0.5
 
 
 @attrs.frozen
 class Settings:
-    """What a gateway is told.
+    """Settings of a gateway.
 
     Attributes:
         vm: Name of the VM.
         zone: Its availability zone.
-        ip: IP number by which others reach it.
+        ip: IP address at which other nodes reach it.
         caller_port: Port for callers.
         ready_port: Port of the readiness check.
         peer_port: Port for the other processes of the system.
         seeds: Peer addresses of a few coordinators.
-        metrics_port: Port for scrapes; 0 for none.
+        metrics_port: Port of the metrics endpoint; 0 for none.
         grace_s: Time between SIGTERM and SIGKILL, in seconds.
         retry_limits: Retries that all gateways may make together.
-        bind_ip: IP number that it binds; empty if it is `ip`.
+        bind_ip: IP address to bind; empty if it is `ip`.
     """
 
     vm: str
@@ -77,7 +79,7 @@
 
     @property
     def listen_ip(self) -> str:
-        """The IP number on which it listens."""
+        """The IP address on which the process listens."""
         return self.bind_ip or self.ip
 
 
@@ -88,40 +90,41 @@
         self,
         settings: Settings,
         *,
-        dialect: header_codec_module.HeaderCodec,
+        header_codec: header_codec_module.HeaderCodec,
         read_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
         reload: Callable[[], Settings],
         log: decisions.DecisionLog,
-        opened: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
         """Makes a gateway; `run` starts it.
 
         Args:
-            settings: What it is told.
-            dialect: Names and formats of callers and replicas.
-            read_document: Reads a whole configuration.
-            reload: Reads the settings again.
-            log: Where decisions are written.
-            opened: The port for callers, if that is open already.
+            settings: Its settings.
+            header_codec: Encodes and decodes headers of callers and replicas.
+            read_document: Decodes a complete configuration.
+            reload: Loads the settings again.
+            log: Log of decisions.
+            listening_socket: Socket of the port for callers, if it is already
+                open.
         """
         self.settings = settings
-        self._opened = opened
+        self._listening_socket = listening_socket
         self.name = f"{settings.vm}.{random.getrandbits(24):x}"
         node = nodes.make_node_name(settings.zone, settings.vm, nodes.GATEWAY)
         now = clock.read_boottime()
         self._rng = random.Random(f"{node} {clock.read_wall()}")
         self._reload = reload
         self._log = log
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._limits = listener_module.ListenerLimits()
         self._pool = upstream.Pool(settings.bind_ip)
         self._exchanges: dict[tuple[str, int], upstream.Exchange] = {}
         self._stop = asyncio.Event()
         self._configured = asyncio.Event()
-        # Requests that wait for the first configuration.
-        self.waiting_to_start = 0
+        # Number of requests that wait for the first configuration.
+        self.waiting_for_configuration = 0
         self.response_writers: dict[str, forwarding.ResponseWriter] = {}
         self.role = gateway_role.Gateway(
             gateway_role.Identity(
@@ -144,18 +147,18 @@
         )
 
     async def run(self) -> None:
-        """Serves until the process is asked to stop."""
+        """Serves until the process receives SIGTERM or SIGINT."""
         settings = self.settings
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._take_new_settings)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         listener = listener_module.Listener(
-            forwarding.Application(self, self._dialect),
+            forwarding.Application(self, self._header_codec),
             settings.listen_ip,
             settings.caller_port,
             self._limits,
-            opened=self._opened,
+            listening_socket=self._listening_socket,
         )
         ready = server_module.HttpServer(
             self._make_ready_app(), settings.listen_ip, settings.ready_port
@@ -163,16 +166,16 @@
         await self._peers.start()
         await ready.start()
         await listener.start()
-        scraped = await scrape.serve(
+        metrics_server = await scrape.serve(
             self._log,
             self.settings.listen_ip,
             self.settings.metrics_port,
-            self._gauge,
+            self._collect_gauges,
         )
         self._log.write(notes.note("started", node=self.name))
-        ticking = [
+        tick_tasks = [
             asyncio.ensure_future(
-                ticker.tick_forever(self._choose_pause, self._tick, self._log)
+                ticker.tick_forever(self._get_tick_delay, self._tick, self._log)
             ),
             asyncio.ensure_future(
                 ticker.tick_forever(
@@ -182,53 +185,57 @@
         ]
         await self._stop.wait()
         await self._drain(listener)
-        for task in ticking:
+        for task in tick_tasks:
             task.cancel()
         self._pool.close()
         await listener.close()
         await ready.close()
-        if scraped is not None:
-            await scraped.close()
+        if metrics_server is not None:
+            await metrics_server.close()
         await self._peers.close()
         self._log.write(notes.note("stopped"))
         self._log.flush()
 
     async def _drain(self, listener: listener_module.Listener) -> None:
-        """Ends without cutting a request.
+        """Finishes the pending requests before the process ends.
 
-        The balancer goes on sending callers here until it has seen twice that
-        this gateway is not ready; a connection refused before that is a
-        request lost.
+        The balancer continues to send callers here until two of its probes
+        have found this gateway not ready; a connection that is refused before
+        that is a lost request.
         """
-        began = clock.read_boottime()
-        ends = began + max(0.5, self.settings.grace_s - END_MARGIN_S)
+        started_at = clock.read_boottime()
+        deadline = started_at + max(
+            0.5, self.settings.grace_s - SHUTDOWN_MARGIN_S
+        )
         self._limits.close_after_response = True
         self.apply(interface.StopRequested())
-        while clock.read_boottime() < min(began + BALANCER_S, ends):
+        while clock.read_boottime() < min(
+            started_at + BALANCER_DETECTION_S, deadline
+        ):
             await asyncio.sleep(POLL_S)
         listener.stop_listening()
-        while self.response_writers and clock.read_boottime() < ends:
+        while self.response_writers and clock.read_boottime() < deadline:
             await asyncio.sleep(POLL_S)
             listener.close_idle()
 
     async def wait_for_routes(
         self, limit_s: float
     ) -> routes_module.RouteTable | None:
-        """Returns the routes, once there are any; None after a time."""
+        """Returns the routes once there are any; None after a timeout."""
         if self.role.routes is None:
-            self.waiting_to_start += 1
+            self.waiting_for_configuration += 1
             try:
                 async with asyncio.timeout(limit_s):
                     await self._configured.wait()
             except TimeoutError:
-                # The caller is told when to come back.
+                # The caller gets a refusal with a Retry-After.
                 pass
             finally:
-                self.waiting_to_start -= 1
+                self.waiting_for_configuration -= 1
         return self.role.routes
 
     def write_log(self, note: notes.Note) -> None:
-        """Writes a line of the log."""
+        """Writes a log line."""
         self._log.write(note)
 
     def choose_service(self, route: document_module.Route) -> str:
@@ -236,7 +243,7 @@
         return routes_module.choose_service(route, self._rng)
 
     def apply(self, event: gateway_role.GatewayEvent) -> None:
-        """Gives an event to the reducer and carries out its effects."""
+        """Passes an event to the reducer and carries out its effects."""
         now = clock.read_boottime()
         for effect in self.role.reduce(event, now):
             self._carry_out(effect)
@@ -247,11 +254,11 @@
                 self._log.write(effect)
                 if effect.event == "configuration_applied":
                     self._configured.set()
-                    self._take_limits()
+                    self._apply_limits()
             case interface.Send(node, message):
                 self._peers.send(node, message)
             case events.StartAttempt():
-                self._open(effect)
+                self._start_attempt(effect)
             case events.CancelAttempt(request_id, attempt):
                 exchange = self._exchanges.pop((request_id, attempt), None)
                 if exchange is not None:
@@ -259,18 +266,18 @@
             case interface.Stopped():
                 pass
             case _:
-                caller = self.response_writers.get(effect.request_id)
-                if caller is not None:
-                    caller.write(effect)
-
-    def _open(self, opened: events.StartAttempt) -> None:
-        request = opened.request
-        attempt = forwarding.AttemptReceiver(
-            opened, dialect=self._dialect, deliver=self._deliver
+                writer = self.response_writers.get(effect.request_id)
+                if writer is not None:
+                    writer.write(effect)
+
+    def _start_attempt(self, attempt: events.StartAttempt) -> None:
+        request = attempt.request
+        receiver = forwarding.AttemptReceiver(
+            attempt, header_codec=self._header_codec, deliver=self._deliver
         )
-        data = self._dialect.encode_request_head(opened) + request.body
-        self._exchanges[request.request_id, opened.attempt] = (
-            self._pool.send_request(opened.replica.address, data, attempt)
+        data = self._header_codec.encode_request_head(attempt) + request.body
+        self._exchanges[request.request_id, attempt.attempt] = (
+            self._pool.send_request(attempt.replica.address, data, receiver)
         )
 
     def _deliver(self, event: events.Event) -> None:
@@ -278,7 +285,7 @@
             self._exchanges.pop((event.request_id, event.attempt), None)
         self.apply(event)
 
-    def _gauge(self) -> dict[str, float]:
+    def _collect_gauges(self) -> dict[str, float]:
         document = self.role.document
         return {
             "open_requests": self.role.count_open(),
@@ -289,21 +296,21 @@
             ),
             "configuration_version": document.version if document else 0,
             "ready": float(self.role.is_ready()),
-            "connections_opened_total": self._pool.opened,
+            "connections_opened_total": self._pool.opened_count,
             **self.role.count_replicas(),
         }
 
     def _receive(self, sender: str, message: interface.Message) -> None:
         self.apply(interface.MessageArrived(sender, message, clock.read_wall()))
 
-    def _choose_pause(self) -> float:
-        """Returns the pause to the next tick, in seconds."""
+    def _get_tick_delay(self) -> float:
+        """Returns the delay until the next tick, in seconds."""
         return self.role.get_tick_delay(clock.read_boottime())
 
     def _tick(self) -> None:
         self.apply(interface.Tick(clock.read_wall()))
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         document = self.role.document
         if document is not None:
             limits = document.limits
@@ -311,10 +318,10 @@
             self._limits.header_timeout_s = limits.header_timeout_s
             self._limits.idle_timeout_s = limits.idle_timeout_s
 
-    def _take_new_settings(self) -> None:
+    def _reload_settings(self) -> None:
         try:
             settings = self._reload()
-        except Exception as error:  # noqa: BLE001 - said, and nothing changes
+        except Exception as error:  # noqa: BLE001 - logged; nothing changes
             self._log.write(
                 notes.note("reload_failed", level="error", why=str(error))
             )
@@ -324,15 +331,15 @@
         self._log.write(notes.note("reloaded", seeds=list(settings.seeds)))
 
     def _make_ready_app(self) -> applications.Starlette:
-        async def tell_readiness(_: requests.Request) -> responses.Response:
+        async def get_readiness(_: requests.Request) -> responses.Response:
             ready = self.role.is_ready()
             return responses.Response(status_code=200 if ready else 503)
 
-        async def tell_health(_: requests.Request) -> responses.Response:
+        async def get_health(_: requests.Request) -> responses.Response:
             return responses.PlainTextResponse("ok\n")
 
         routes: list[Any] = [
-            routing.Route("/ready", tell_readiness),
-            routing.Route("/healthz", tell_health),
+            routing.Route("/ready", get_readiness),
+            routing.Route("/healthz", get_health),
         ]
         return applications.Starlette(routes=routes)
--- a/src/hickorylead/runtime/headers.py
+++ b/src/hickorylead/runtime/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers: bearer token, priority, deadline, key, trace."""
+"""Headers of callers: token, priority, deadline, key and trace."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 def find_workspace(authorization: str, tokens: Mapping[str, str]) -> str | None:
     """Returns the workspace of a bearer token; None if it is not known.
 
-    Every token is compared, in constant time: how long the answer takes tells
-    nothing about how much of a guess was right.
+    Every token is compared, in constant time, so that the response time does
+    not reveal how much of a guessed token is right.
     """
-    scheme, _, given = authorization.partition(" ")
+    scheme, _, received = authorization.partition(" ")
     if scheme.lower() != "bearer":
         return None
     found: str | None = None
     for token, workspace in tokens.items():
-        if hmac.compare_digest(token.encode(), given.strip().encode()):
+        if hmac.compare_digest(token.encode(), received.strip().encode()):
             found = workspace
     return found
 
@@ -39,19 +39,19 @@
 def read_urgency(priority: str) -> int:
     """Returns the urgency in a Priority header (RFC 9218).
 
-    As the RFC has it, what cannot be read counts as not given.
+    As the RFC demands, a malformed value is ignored.
     """
-    found = _URGENCY.search(priority)
-    return int(found.group(1)) if found else model.URGENCY_DEFAULT
+    matched = _URGENCY.search(priority)
+    return int(matched.group(1)) if matched else model.URGENCY_DEFAULT
 
 
 def read_deadline(prefer: str, default_s: float) -> result.Result[float, str]:
     """Returns the seconds in `Prefer: wait=...` (RFC 7240)."""
-    found = _WAIT.search(prefer)
-    if not found:
+    matched = _WAIT.search(prefer)
+    if not matched:
         return result.Success(default_s)
     try:
-        wait_s = float(found.group(1))
+        wait_s = float(matched.group(1))
     except ValueError:
         wait_s = -1.0
     if not 0 < wait_s <= MAX_WAIT_S:
@@ -76,6 +76,6 @@
 
 
 def read_traceparent(text: str) -> str:
-    """Returns a W3C traceparent; empty if it is none."""
+    """Returns a W3C traceparent; empty if the text is not one."""
     text = text.strip()
     return text if _TRACEPARENT.fullmatch(text) else ""
--- a/src/hickorylead/runtime/json_codec.py
+++ b/src/hickorylead/runtime/json_codec.py
@@ -1,4 +1,4 @@
-"""JSON documents of the published interfaces, to and from typed messages."""
+"""Converts JSON of the public APIs to and from typed messages."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 T = TypeVar("T")
 
-# Numbers cross the wire in 64 bits, and fencing numbers are still raised by
-# those who hear of one. A larger number that got in could not be sent on: each
-# attempt would fail, again and again, in the process that took it.
+# Numbers have 64 bits on the wire, and nodes still raise the fencing numbers
+# that they receive. A larger number, once accepted, could not be sent on: every
+# attempt to encode it would fail in the process that accepted it.
 MAX_NUMBER = 1 << 53
 
 _OPERATION_KINDS = {
@@ -31,9 +31,9 @@
 
 
 def _make_strict() -> cattrs.Converter:
-    """Returns a converter for operators' input: a misspelt field is an error.
+    """Returns a converter for operators' input that rejects unknown fields.
 
-    Taken silently, it would leave the default in force.
+    A misspelt field would otherwise be ignored and its default would apply.
     """
     converter = cattrs.Converter(forbid_extra_keys=True)
     _require_types(converter)
@@ -51,7 +51,7 @@
 
 
 def _make_lenient() -> cattrs.Converter:
-    """Returns a converter for servers' input, which may know newer fields."""
+    """Returns a converter for servers' input, which may have newer fields."""
     converter = cattrs.Converter()
     _require_types(converter)
     return converter
@@ -100,11 +100,11 @@
 ) -> result.Result[announcements.Announcement, str]:
     """Returns a backend server's announcement, or what is wrong with it."""
     match _read(_LENIENT, data, announcements.Announcement):
-        case result.Success(found):
-            problems = announcements.validate_state(found.state)
+        case result.Success(announcement):
+            problems = announcements.validate_state(announcement.state)
             if problems:
                 return result.Failure("; ".join(problems))
-            return result.Success(found)
+            return result.Success(announcement)
         case result.Failure(problem):
             return result.Failure(problem)
     raise AssertionError("a result is a success or a failure")
@@ -115,40 +115,42 @@
     match _load(data):
         case result.Failure(problem):
             return result.Failure(problem)
-        case result.Success(found):
+        case result.Success(fields):
             pass
     try:
         operation: Any = _STRICT.structure(
-            found.get("operation"),
+            fields.get("operation"),
             _Submittable,  # type: ignore[arg-type]
         )
-        change_id, expected = found["change_id"], found["expected_version"]
+        change_id, expected = fields["change_id"], fields["expected_version"]
     except KeyError as error:
         return result.Failure(f"{error.args[0]} is missing")
     except Exception as error:  # noqa: BLE001 - the library raises many kinds
         return result.Failure(_explain(error))
     if not isinstance(change_id, str) or not 8 <= len(change_id) <= 64:
-        return result.Failure("change_id is not a text of 8 to 64 characters")
+        return result.Failure("change_id is not a string of 8 to 64 characters")
     if type(expected) is not int or not 0 <= expected <= MAX_NUMBER:
-        return result.Failure("expected_version is not a number from 0 up")
+        return result.Failure(
+            "expected_version is not an integer of at least 0"
+        )
     return result.Success(changes.Change(change_id, expected, operation))
 
 
-def read_service(found: Any) -> result.Result[model.Service, str]:
+def read_service(value: Any) -> result.Result[model.Service, str]:
     """Returns the service in a JSON object."""
-    return _structure(_STRICT, found, model.Service)
+    return _structure(_STRICT, value, model.Service)
 
 
-def read_preset(found: Any) -> result.Result[model.Preset, str]:
+def read_preset(value: Any) -> result.Result[model.Preset, str]:
     """Returns the preset in a JSON object."""
-    return _structure(_STRICT, found, model.Preset)
+    return _structure(_STRICT, value, model.Preset)
 
 
 def read_configuration(
-    found: Any,
+    value: Any,
 ) -> result.Result[model.Configuration, str]:
     """Returns the configuration in a JSON object."""
-    return _structure(_LENIENT, found, model.Configuration)
+    return _structure(_LENIENT, value, model.Configuration)
 
 
 def dump(value: Any) -> Any:
@@ -157,7 +159,7 @@
 
 
 def dump_operation(operation: changes.Operation) -> Any:
-    """Returns an operation as the JSON object that `read_change` takes."""
+    """Returns an operation as the JSON object that `read_change` reads."""
     kind = _OPERATION_KINDS[type(operation)]
     return {"kind": kind, **_PLAIN.unstructure(operation)}
 
@@ -166,8 +168,8 @@
     converter: cattrs.Converter, data: bytes, cls: type[T]
 ) -> result.Result[T, str]:
     match _load(data):
-        case result.Success(found):
-            return _structure(converter, found, cls)
+        case result.Success(fields):
+            return _structure(converter, fields, cls)
         case result.Failure(problem):
             return result.Failure(problem)
     raise AssertionError("a result is a success or a failure")
@@ -175,19 +177,19 @@
 
 def _load(data: bytes) -> result.Result[dict[str, Any], str]:
     try:
-        found = orjson.loads(data)
+        fields = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         return result.Failure(f"not JSON: {error}")
-    if not isinstance(found, dict):
+    if not isinstance(fields, dict):
         return result.Failure("not a JSON object")
-    return result.Success(found)
+    return result.Success(fields)
 
 
 def _structure(
-    converter: cattrs.Converter, found: Any, cls: type[T]
+    converter: cattrs.Converter, value: Any, cls: type[T]
 ) -> result.Result[T, str]:
     try:
-        return result.Success(converter.structure(found, cls))
+        return result.Success(converter.structure(value, cls))
     except Exception as error:  # noqa: BLE001 - the library raises many kinds
         return result.Failure(_explain(error))
 
--- a/src/hickorylead/runtime/listener.py
+++ b/src/hickorylead/runtime/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listener for callers, with limits that change while it runs."""
+"""HTTP listener for callers, with limits that can change at run time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 @attrs.define
 class ListenerLimits:
-    """What callers may send and how long they may take; shared and mutable.
+    """Limits on what callers send and how long it takes; shared and mutable.
 
     Attributes:
-        max_header_bytes: Longest head of a request, in bytes.
-        header_timeout_s: Longest time for the head of a request, in seconds.
-        idle_timeout_s: Longest time that a connection may be idle, in seconds.
-        close_after_response: Whether connections end after their present
-            answer.
+        max_header_bytes: Maximum size of the head of a request, in bytes.
+        header_timeout_s: Timeout for receiving the head of a request, in
+            seconds.
+        idle_timeout_s: Timeout of idle connections, in seconds.
+        close_after_response: Whether connections close after their present
+            response.
     """
 
     max_header_bytes: int = 16384
@@ -35,22 +36,21 @@
     close_after_response: bool = False
 
 
-# Where an application finds the connection of a request, in the extensions of
-# its ASGI scope.
+# Key of a request's connection in the extensions of its ASGI scope.
 CONNECTION_KEY = "hickorylead.connection"
 
-_TOO_LONG = (
+_HEAD_TOO_LONG_RESPONSE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"content-length: 0\r\nconnection: close\r\n\r\n"
 )
-_TOO_SLOW = (
+_HEAD_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\n"
     b"content-length: 0\r\nconnection: close\r\n\r\n"
 )
 
 
 class CallerProtocol(httptools_impl.HttpToolsProtocol):
-    """A caller's connection with limits on its heads and its idle time."""
+    """A caller's connection with limits on request heads and idle time."""
 
     limits: ListenerLimits
 
@@ -62,63 +62,63 @@
         self._in_head = False
 
     def connection_made(self, transport: Any) -> None:
-        """Takes the transport; a caller that sends nothing is idle."""
+        """Records the transport and starts the idle timer."""
         super().connection_made(transport)
-        self._arm_idle()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes the end of the connection."""
-        self._disarm_head()
+        """Handles the end of the connection."""
+        self._cancel_head_timer()
         self._unset_keepalive_if_required()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the caller."""
+        """Handles bytes from the caller."""
         if not self._in_head and (
             self.cycle is None or self.cycle.response_complete
         ):
             self._in_head = True
             self._head_bytes = 0
             self._head_timer = self.loop.call_later(
-                self.limits.header_timeout_s, self._end_slow_head
+                self.limits.header_timeout_s, self._reject_slow_head
             )
         super().data_received(data)
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the target."""
+        """Handles a chunk of the request target."""
         self._count_head(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Handles a header."""
         self._count_head(len(name) + len(value) + len(": \r\n"))
         super().on_header(name, value)
 
     def send_400_response(self, msg: str) -> None:
-        """Answers what is no request, unless an answer was given already."""
+        """Rejects a malformed request unless it already has a response."""
         if not self.transport.is_closing():
             super().send_400_response(msg)
 
     def on_headers_complete(self) -> None:
-        """Takes a whole head."""
+        """Handles the end of the head."""
         self._in_head = False
-        self._disarm_head()
+        self._cancel_head_timer()
         super().on_headers_complete()
         self.scope["extensions"] = {CONNECTION_KEY: {"protocol": self}}
         if self.limits.close_after_response and self.cycle is not None:
             self.cycle.keep_alive = False
 
     def on_response_complete(self) -> None:
-        """Waits for the next request, as long as the limits allow."""
+        """Starts the wait for the next request, with the present limit."""
         self.timeout_keep_alive = self.limits.idle_timeout_s  # type: ignore[assignment]
         super().on_response_complete()
 
     def can_write(self) -> bool:
-        """Says whether what is sent now is taken without a wait."""
+        """Returns whether data can be sent now without waiting."""
         return not self.flow.write_paused
 
     def close_if_idle(self) -> None:
-        """Ends the connection unless a request is under way."""
+        """Closes the connection unless a request is in progress."""
         if not self._in_head and (
             self.cycle is None or self.cycle.response_complete
         ):
@@ -127,35 +127,35 @@
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
         if self._head_bytes > self.limits.max_header_bytes:
-            self._end_with(_TOO_LONG)
-            # Nothing more of this connection is read.
+            self._respond_and_close(_HEAD_TOO_LONG_RESPONSE)
+            # This stops the parser: the rest of the connection is not read.
             raise ValueError("the head of a request is too long")
 
-    def _arm_idle(self) -> None:
+    def _start_idle_timer(self) -> None:
         self.timeout_keep_alive_task = self.loop.call_later(
             self.limits.idle_timeout_s, self.timeout_keep_alive_handler
         )
 
-    def _disarm_head(self) -> None:
+    def _cancel_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _end_slow_head(self) -> None:
-        self._end_with(_TOO_SLOW)
+    def _reject_slow_head(self) -> None:
+        self._respond_and_close(_HEAD_TIMEOUT_RESPONSE)
 
-    def _end_with(self, answer: bytes) -> None:
-        self._disarm_head()
+    def _respond_and_close(self, response: bytes) -> None:
+        self._cancel_head_timer()
         self._in_head = False
         if not self.transport.is_closing():
-            self.transport.write(answer)
+            self.transport.write(response)
             self.transport.close()
 
 
 class _Server(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leaves signals to the process: a stop is graceful first."""
+        """Installs no handlers: the process itself stops gracefully."""
         yield
 
 
@@ -169,23 +169,23 @@
         port: int,
         limits: ListenerLimits,
         *,
-        opened: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
         """Makes a listener; `start` opens its port.
 
         Args:
             app: The ASGI application.
-            ip: IP number.
+            ip: IP address.
             port: TCP port.
-            limits: Limits; changes of them count from then on.
-            opened: Its port, if that is open already.
+            limits: Limits; changes to them apply from then on.
+            listening_socket: Socket of its port, if it is already open.
         """
         protocol = type("BoundProtocol", (CallerProtocol,), {"limits": limits})
         config = uvicorn.Config(
             app,
             host=ip,
             port=port,
-            # uvloop carries io_uring code, which is ruled out.
+            # uvloop contains io_uring code, which is not allowed here.
             loop="asyncio",
             http=protocol,
             ws="none",
@@ -197,14 +197,16 @@
             backlog=sockets.BACKLOG,
         )
         self._limits = limits
-        self._opened = opened
+        self._listening_socket = listening_socket
         self._server = _Server(config)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Opens the port; returns once it takes connections."""
-        given = None if self._opened is None else [self._opened]
-        self._task = asyncio.create_task(self._server.serve(sockets=given))
+        """Opens the port; returns once it accepts connections."""
+        sockets_ = (
+            None if self._listening_socket is None else [self._listening_socket]
+        )
+        self._task = asyncio.create_task(self._server.serve(sockets=sockets_))
         while not self._server.started:
             if self._task.done():
                 self._task.result()
@@ -212,19 +214,19 @@
             await asyncio.sleep(0.005)
 
     def stop_listening(self) -> None:
-        """Takes no new connections and ends the idle ones."""
+        """Stops accepting connections and closes the idle ones."""
         for server in self._server.servers:
             server.close()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Ends the connections without a request."""
+        """Closes the connections without a request in progress."""
         for connection in list(self._server.server_state.connections):
             if isinstance(connection, CallerProtocol):
                 connection.close_if_idle()
 
     async def close(self) -> None:
-        """Ends the open connections and the server."""
+        """Closes the open connections and stops the server."""
         self._server.should_exit = True
         self._server.force_exit = True
         if self._task is not None:
--- a/src/hickorylead/runtime/peers.py
+++ b/src/hickorylead/runtime/peers.py
@@ -1,8 +1,8 @@
 """Connections to the other processes of the system.
 
-Each process dials the ones it sends to. The other side acknowledges what it
-read, so that a connection that something in between has lost track of is
-noticed and replaced, instead of swallowing messages for good.
+Each process connects to the ones that it sends to. The receiver acknowledges
+what it has read, so that a connection that a middlebox has dropped silently is
+detected and replaced instead of losing all further messages.
 """
 
 from __future__ import annotations
@@ -23,47 +23,48 @@
 
 CONNECT_TIMEOUT_S = 1.0
 ACK_TIMEOUT_S = 2.0
-# A process that starts a moment after this one is met this soon, in seconds.
-RETRY_PAUSE_S = 0.1
-# A node that is away must not fill the memory; what is dropped is repeated by
-# the protocols above.
-MAX_WAITING = 2000
+# Delay before a new connection, in seconds; short, so that a process that
+# starts just after this one is soon connected.
+RECONNECT_DELAY_S = 0.1
+# Limits the memory used for an unreachable node; the protocols above repeat
+# messages that are dropped.
+MAX_QUEUED_MESSAGES = 2000
 _READ_BYTES = 64 * 1024
 _ACK = b"\1"
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns IP number and port of `ip:port`."""
+    """Returns IP address and port of `ip:port`."""
     ip, _, port = address.rpartition(":")
     return ip.strip("[]"), int(port)
 
 
-class Warner(Protocol):
-    """Where trouble is told that was handled."""
+class WarningLog(Protocol):
+    """Log for problems that were handled."""
 
     def warn(self, message: str, **fields: Any) -> None:
-        """Writes a line."""
+        """Writes a log line."""
 
 
 class _Link:
-    """The way to one node."""
+    """Outgoing connection to one node, replaced when it fails."""
 
     def __init__(self, address: str, bind_ip: str) -> None:
         self.address = address
         self._bind = (bind_ip, 0) if bind_ip else None
-        self.waiting: collections.deque[bytes] = collections.deque(
-            maxlen=MAX_WAITING
+        self.queue: collections.deque[bytes] = collections.deque(
+            maxlen=MAX_QUEUED_MESSAGES
         )
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Sends what waits, over one connection after another."""
+        """Sends the queued messages, over one connection after another."""
         while True:
-            await self._wait_for_work(None)
+            await self._wait_for_messages(None)
             with contextlib.suppress(OSError, TimeoutError):
                 await self._run_connection()
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _run_connection(self) -> None:
         ip, port = split_address(self.address)
@@ -73,18 +74,20 @@
             )
         try:
             while True:
-                while self.waiting:
-                    writer.write(frame.pack_frame(self.waiting.popleft()))
+                while self.queue:
+                    writer.write(frame.pack_frame(self.queue.popleft()))
                 async with asyncio.timeout(ACK_TIMEOUT_S):
                     await writer.drain()
                     if not await reader.read(_READ_BYTES):
                         return
-                await self._wait_for_work(reader)
+                await self._wait_for_messages(reader)
         finally:
             writer.close()
 
-    async def _wait_for_work(self, reader: asyncio.StreamReader | None) -> None:
-        while not self.waiting:
+    async def _wait_for_messages(
+        self, reader: asyncio.StreamReader | None
+    ) -> None:
+        while not self.queue:
             if reader is not None and reader.at_eof():
                 return
             self.wake.clear()
@@ -101,25 +104,25 @@
         address: str,
         known: Mapping[str, str],
         deliver: Callable[[str, interface.Message], None],
-        log: Warner,
+        log: WarningLog,
         bind_ip: str = "",
     ) -> None:
         """Makes the connections of a process; `start` opens them.
 
         Args:
             node: Name of this process.
-            address: `ip:port` on which it takes messages.
+            address: `ip:port` on which it receives messages.
             known: Addresses by node, from the settings.
             deliver: Called with each message and its sender.
-            log: Where trouble is told.
-            bind_ip: IP number to listen on and to call from, if it is not
+            log: Log for malformed input.
+            bind_ip: IP address to listen on and to connect from, if it is not
                 that of the address.
         """
         self._bind_ip = bind_ip
         self._node = node
         self._address = address
         self._addresses = dict(known)
-        self._fixed = frozenset(known)
+        self._configured_nodes = frozenset(known)
         self._deliver = deliver
         self._log = log
         self._links: dict[str, _Link] = {}
@@ -128,7 +131,7 @@
         self._handlers: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Starts to take messages."""
+        """Starts to receive messages."""
         ip, port = split_address(self._address)
         self._server = await asyncio.start_server(
             self._serve, self._bind_ip or ip, port
@@ -151,7 +154,7 @@
             return
         address = self._addresses.get(node)
         if node.startswith("@"):
-            # Its name is not known yet: a seed.
+            # A seed, whose node name is not known yet.
             address = node[1:]
         if address is None:
             return
@@ -161,11 +164,11 @@
                 link.task.cancel()
             link = self._links[node] = _Link(address, self._bind_ip)
             link.task = asyncio.create_task(link.run())
-        link.waiting.append(self._encode(message))
+        link.queue.append(self._encode(message))
         link.wake.set()
 
     def _encode(self, message: interface.Message) -> bytes:
-        """Returns the bytes of a message; one to many nodes is encoded once."""
+        """Encodes a message, once even if it goes to several nodes."""
         last, payload = self._last_encoded
         if last is not message:
             envelope = codec.Envelope(self._node, self._address, message)
@@ -189,7 +192,7 @@
         except frame.FrameError as error:
             self._log.warn("bad frame", detail=str(error))
         except (OSError, asyncio.CancelledError):
-            # The other side is gone, or this process ends.
+            # The peer has closed the connection, or this process ends.
             pass
         finally:
             self._handlers.discard(task)
@@ -198,7 +201,7 @@
     def _receive(self, payload: bytes) -> None:
         match codec.decode_envelope(payload):
             case result.Success(envelope):
-                if envelope.sender not in self._fixed:
+                if envelope.sender not in self._configured_nodes:
                     self._addresses[envelope.sender] = envelope.address
                 self._deliver(envelope.sender, envelope.message)
             case result.Failure(problem):
--- a/src/hickorylead/runtime/problems.py
+++ b/src/hickorylead/runtime/problems.py
@@ -16,7 +16,7 @@
 
 def describe_problem(problem: model.Problem, request_id: str) -> dict[str, Any]:
     """Returns a problem as a JSON object."""
-    found: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "type": f"urn:hickorylead:problem:{problem.code}",
         "title": problem.code.replace("_", " "),
         "status": problem.status,
@@ -25,10 +25,10 @@
         "verdict": problem.verdict.value,
     }
     if request_id:
-        found["request_id"] = request_id
+        fields["request_id"] = request_id
     if problem.retry_after_s is not None:
-        found["retry_after_s"] = problem.retry_after_s
-    return found
+        fields["retry_after_s"] = problem.retry_after_s
+    return fields
 
 
 def make_response(
@@ -49,7 +49,7 @@
 
 
 def refuse_input(status: int, code: str, detail: str) -> responses.Response:
-    """Returns the response to input that cannot be taken; nothing ran."""
+    """Returns the response to invalid input; nothing ran."""
     return make_response(
         model.Problem(status, code, verdict_module.Verdict.NOT_RUN, detail)
     )
--- a/src/hickorylead/runtime/process.py
+++ b/src/hickorylead/runtime/process.py
@@ -1,4 +1,4 @@
-"""What every long-running process does: wait for a stop, export traces."""
+"""Common tasks of long-running processes: stop signals, trace export."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 async def wait_for_stop(stop: asyncio.Event | None = None) -> None:
-    """Returns when the process is asked to stop by SIGTERM or SIGINT.
+    """Returns when the process receives SIGTERM or SIGINT.
 
     Args:
-        stop: Set by the process itself when it has to end.
+        stop: Set by the process itself when it must end.
     """
     stop = stop or asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -28,22 +28,23 @@
     await stop.wait()
 
 
-def end_with(task: asyncio.Task[None], stop: asyncio.Event) -> None:
-    """Stops the process when a task that must go on has failed.
+def stop_on_failure(task: asyncio.Task[None], stop: asyncio.Event) -> None:
+    """Stops the process when a task that must keep running has failed.
 
-    A process whose clock has stopped still answers, renews nothing and times
-    out nothing: worse than one that is gone, which others notice.
+    A process without ticks still responds, but renews nothing and detects no
+    timeouts. This is worse than a process that has ended, which other nodes
+    detect.
     """
 
-    def check(ended: asyncio.Task[None]) -> None:
-        if not ended.cancelled() and ended.exception() is not None:
+    def on_done(completed: asyncio.Task[None]) -> None:
+        if not completed.cancelled() and completed.exception() is not None:
             stop.set()
 
-    task.add_done_callback(check)
+    task.add_done_callback(on_done)
 
 
 async def export_traces(tracer: traces.Tracer, endpoint: str) -> None:
-    """Sends ended spans to the trace endpoint from time to time."""
+    """Sends completed spans to the trace endpoint periodically."""
     if not endpoint:
         return
     timeout = aiohttp.ClientTimeout(total=EXPORT_TIMEOUT_S)
@@ -63,5 +64,6 @@
         async with session.post(endpoint, data=batch, headers=headers):
             pass
     except (aiohttp.ClientError, OSError, TimeoutError):
-        # Traces are of no use to callers: what cannot be sent is dropped.
+        # Callers do not depend on traces: a batch that cannot be sent is
+        # dropped.
         pass
--- a/src/hickorylead/runtime/response_queue.py
+++ b/src/hickorylead/runtime/response_queue.py
@@ -1,4 +1,4 @@
-"""Where the effects of one request wait for its HTTP handler."""
+"""Queue of one request's effects for its HTTP handler."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @attrs.define
 class ResponseQueue:
-    """The caller's side of one request.
+    """Effects of one request that its HTTP handler has to send.
 
     Attributes:
-        service: Service asked.
-        effects: What the reducer decided, in order.
+        service: Requested service.
+        effects: Effects from the reducer, in order.
     """
 
     service: str
--- a/src/hickorylead/runtime/scrape.py
+++ b/src/hickorylead/runtime/scrape.py
@@ -1,4 +1,4 @@
-"""The metrics address of a process."""
+"""The metrics endpoint of a process."""
 
 from __future__ import annotations
 
@@ -21,29 +21,31 @@
     log: decisions.DecisionLog,
     ip: str,
     port: int,
-    gauge: Callable[[], dict[str, float]],
+    collect_gauges: Callable[[], dict[str, float]],
 ) -> server.HttpServer | None:
-    """Opens the metrics port; a process that cannot goes on without.
+    """Opens the metrics port; if it is taken, the process runs without.
 
-    The server that is returned must be kept, and closed at the end.
+    The caller must keep the returned server and close it at the end.
 
     Args:
-        log: Its figures are given out.
-        ip: IP number.
+        log: Log of decisions whose metrics are exposed.
+        ip: IP address.
         port: TCP port; 0 for none.
-        gauge: Returns present values by name.
+        collect_gauges: Returns the present values by name.
     """
     if not port:
         return None
 
-    async def tell(_: requests.Request) -> responses.Response:
-        body = log.metrics.render(gauge())
+    async def get_metrics(_: requests.Request) -> responses.Response:
+        body = log.metrics.render(collect_gauges())
         return responses.Response(body, media_type="text/plain")
 
-    app = applications.Starlette(routes=[routing.Route("/metrics", tell)])
-    if not server.is_free(ip, port):
+    app = applications.Starlette(
+        routes=[routing.Route("/metrics", get_metrics)]
+    )
+    if not server.is_port_free(ip, port):
         log.write(notes.note("metrics_port_taken", level="warning", port=port))
         return None
-    opened = server.HttpServer(app, ip, port)
-    await opened.start()
-    return opened
+    metrics_server = server.HttpServer(app, ip, port)
+    await metrics_server.start()
+    return metrics_server
--- a/src/hickorylead/runtime/server.py
+++ b/src/hickorylead/runtime/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a process, inside the process's own loop."""
+"""HTTP server that runs in the event loop of the process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class _Server(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leaves signals to the process: a stop is graceful first."""
+        """Installs no handlers: the process itself stops gracefully."""
         yield
 
 
@@ -28,10 +28,10 @@
 
         Args:
             app: The ASGI application.
-            ip: IP number.
+            ip: IP address.
             port: TCP port.
         """
-        # uvloop carries io_uring code, which is ruled out on these machines.
+        # uvloop contains io_uring code, which is not allowed on these machines.
         config = uvicorn.Config(
             app,
             host=ip,
@@ -48,7 +48,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Opens the port; returns once it takes connections."""
+        """Opens the port; returns once it accepts connections."""
         self._task = asyncio.create_task(self._server.serve())
         while not self._server.started:
             if self._task.done():
@@ -57,19 +57,22 @@
             await asyncio.sleep(0.01)
 
     def stop_listening(self) -> None:
-        """Takes no new connections; the open ones go on."""
+        """Stops accepting connections; the open ones continue."""
         for server in self._server.servers:
             server.close()
 
     async def close(self) -> None:
-        """Ends the open connections and the server."""
+        """Closes the open connections and stops the server."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
 
 
-def is_free(ip: str, port: int) -> bool:
-    """Says whether a port can be opened; the server ends the process if not."""
+def is_port_free(ip: str, port: int) -> bool:
+    """Returns whether a port can be opened.
+
+    The HTTP server ends the process if its port cannot be opened.
+    """
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/src/hickorylead/runtime/sockets.py
+++ b/src/hickorylead/runtime/sockets.py
@@ -1,28 +1,28 @@
-"""Opens ports before anything else is loaded."""
+"""Opens listening sockets before other modules are loaded."""
 
 from __future__ import annotations
 
 import socket
 
-# Connections that wait until the process takes them. After a loss of power all
-# callers of a zone come within a second; the busiest deployments that we know
-# open some 30 connections a second at each gateway.
+# Connections that wait until the process accepts them. After a power failure
+# all callers of a zone connect within a second; the busiest known deployments
+# open about 30 connections a second at each gateway.
 BACKLOG = 512
 
 
 def listen(ip: str, port: int) -> socket.socket:
-    """Returns a socket on which connections wait from now on.
+    """Returns a listening socket, on which connections wait from now on.
 
     Raises:
         OSError: The port cannot be opened.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((ip, port))
-        opened.listen(BACKLOG)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.bind((ip, port))
+        listening_socket.listen(BACKLOG)
     except OSError:
-        opened.close()
+        listening_socket.close()
         raise
-    opened.setblocking(False)
-    return opened
+    listening_socket.setblocking(False)
+    return listening_socket
--- a/src/hickorylead/runtime/ticker.py
+++ b/src/hickorylead/runtime/ticker.py
@@ -1,4 +1,4 @@
-"""A loop that gives a reducer the time, and survives its own delays."""
+"""Loop that ticks a reducer, despite errors and delays."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     from hickorylead.telemetry import decisions
 
 
-# A tick that comes this much too late is told, in seconds: a third of the
-# shortest objective. The process was busy, or got no processor.
-LATE_S = 0.1
+# A tick that is later than this is logged, in seconds: a third of the shortest
+# objective. The process was busy, or got no processor time.
+LATE_TICK_S = 0.1
 
 
 async def tick_forever(
@@ -24,21 +24,22 @@
     tick: Callable[[], None],
     log: decisions.DecisionLog,
 ) -> None:
-    """Calls a function again and again.
+    """Calls a function periodically.
 
-    A process whose clock has stopped still answers, but renews nothing and
-    times nothing out. So an error is told, and the next tick comes.
+    A process without ticks still responds, but renews nothing and detects no
+    timeouts. An error is therefore logged, and the next tick follows.
 
     Args:
-        period_s: Pause between two calls, in seconds, or what returns it.
+        period_s: Delay between two calls, in seconds, or a function that
+            returns it.
         tick: The function.
-        log: Where errors are told.
+        log: Log for errors and late ticks.
     """
     loop = asyncio.get_running_loop()
     while True:
         try:
             tick()
-        except Exception as error:  # noqa: BLE001 - told, with its place
+        except Exception as error:  # noqa: BLE001 - logged, with its place
             log.write(
                 notes.note(
                     "tick_failed",
@@ -47,11 +48,11 @@
                     place=traceback.format_exc(limit=-3),
                 )
             )
-        pause_s = period_s() if callable(period_s) else period_s
-        began = loop.time()
-        await asyncio.sleep(pause_s)
-        late_s = loop.time() - began - pause_s
-        if late_s > LATE_S:
+        delay_s = period_s() if callable(period_s) else period_s
+        started_at = loop.time()
+        await asyncio.sleep(delay_s)
+        late_s = loop.time() - started_at - delay_s
+        if late_s > LATE_TICK_S:
             log.write(
                 notes.note(
                     "loop_late", level="warning", late_s=round(late_s, 3)
--- a/src/hickorylead/runtime/upstream.py
+++ b/src/hickorylead/runtime/upstream.py
@@ -1,9 +1,9 @@
 """Connections to replicas, for requests that are forwarded byte for byte.
 
-The usual HTTP client is not used here, because it hides what decides about a
-second run: it sends again by itself when a kept connection breaks, takes an
-answer without a length for whole when its connection was reset, and reads
-bytes that came after an answer as the next one. The parser is a library's.
+The usual HTTP client is not used here, because it hides whether a request may
+have run: it resends by itself when a kept-alive connection breaks, treats a
+response without a length as complete when its connection was reset, and reads
+bytes that follow a response as the next one. The parser is httptools.
 """
 
 from __future__ import annotations
@@ -22,34 +22,34 @@
 
 Verdict = verdict_module.Verdict
 
-# A replica in the same region answers a connection within about 2 ms; one that
-# is dark never does, and callers wait meanwhile. A lost opening packet is
-# repeated after a second, which is too late anyway.
+# A replica in the same region accepts a connection within about 2 ms; an
+# unreachable one never does, and callers wait in the meantime. A lost SYN is
+# retransmitted after a second, which is too late anyway. In seconds.
 CONNECT_TIMEOUT_S = 0.15
-# A kept connection is dropped this long before its server would, in seconds,
-# since a request that crosses its close is lost.
+# An idle connection is closed this long before the server would close it, in
+# seconds, since a request that arrives during the close is lost.
 EXPIRY_MARGIN_S = 0.6
-# Kept for this long where the server does not say, in seconds.
-DEFAULT_KEEP_S = 0.8
+# Keep-alive time if the server does not specify one, in seconds.
+DEFAULT_KEEPALIVE_S = 0.8
 MAX_HEAD_BYTES = 64 * 1024
 
 
 class Receiver(Protocol):
-    """What becomes of one exchange; the methods are called in this order."""
+    """Callbacks of one exchange; the methods are called in this order."""
 
     def on_headers(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        """Takes status and headers, names in lower case."""
+        """Handles status and headers, names in lower case."""
 
     def on_body_chunk(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a chunk of the body."""
 
     def on_complete(self) -> None:
-        """Takes the news that the answer is whole."""
+        """Handles the end of a complete response."""
 
     def on_failure(self, verdict: verdict_module.Verdict, reason: str) -> None:
-        """Takes the news that there will be no whole answer."""
+        """Handles the end of an exchange without a complete response."""
 
 
 class Connection(asyncio.Protocol):
@@ -70,38 +70,38 @@
         self._head_bytes = 0
         self._has_length = False
         self._has_head = False
-        self._keep_s = DEFAULT_KEEP_S
-        self._closes = False
+        self._keepalive_s = DEFAULT_KEEPALIVE_S
+        self._must_close = False
         self.usable_until = 0.0
         self.is_usable = False
 
-    # The transport's side.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: Any) -> None:
-        """Takes the transport."""
+        """Records the transport."""
         self._transport = transport
         self.is_usable = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes the end of the connection, clean or not."""
+        """Handles the end of the connection, clean or not."""
         self.is_usable = False
         receiver, self._receiver = self._receiver, None
         if receiver is None:
             return
         is_unframed = self._has_head and not self._has_length
         if is_unframed and exc is None:
-            # Without a length the end of the connection ends the answer; a
-            # reset does not: bytes may be missing.
+            # Without a length the end of the connection ends the response. A
+            # reset does not, since bytes may be missing.
             receiver.on_complete()
             return
         reason = "closed" if exc is None else "reset"
         receiver.on_failure(Verdict.MAY_HAVE_RUN, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the replica."""
+        """Handles bytes from the replica."""
         if self._receiver is None:
-            # Bytes that belong to no request; the next answer would be mixed
-            # up with them.
+            # Bytes that belong to no request would be mixed up with the next
+            # response.
             self.close()
             return
         try:
@@ -111,21 +111,21 @@
         except httptools.HttpParserError:
             self._fail("bad_answer")
 
-    # The parser's side.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts an answer."""
+        """Starts a response."""
         if self._receiver is None:
             self.close()
             return
         self._headers = []
         self._has_head = self._has_length = False
         self._head_bytes = 0
-        self._closes = False
-        self._keep_s = DEFAULT_KEEP_S
+        self._must_close = False
+        self._keepalive_s = DEFAULT_KEEPALIVE_S
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Handles a header."""
         name = name.lower()
         value = value.strip(b" \t")
         self._head_bytes += len(name) + len(value)
@@ -137,29 +137,29 @@
         ):
             self._has_length = True
         elif name == b"connection" and b"close" in value.lower():
-            self._closes = True
+            self._must_close = True
         elif name == b"keep-alive":
-            self._keep_s = _read_timeout(value)
+            self._keepalive_s = _parse_keepalive(value)
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hands the head on."""
+        """Passes the head to the receiver."""
         if self._receiver is None:
             return
         status = self._parser.get_status_code()
         if status < 200:
-            # An interim answer; the real one follows.
+            # An interim response; the final one follows.
             return
         self._status = status
         self._has_head = True
         if status in (204, 304):
             self._has_length = True
         if not self._parser.should_keep_alive():
-            self._closes = True
+            self._must_close = True
         self._receiver.on_headers(status, self._headers)
 
     def on_body(self, data: bytes) -> None:
-        """Hands a piece of the body on."""
+        """Passes a chunk of the body to the receiver."""
         if self._receiver is not None:
             self._receiver.on_body_chunk(data)
 
@@ -169,24 +169,25 @@
         if receiver is None or not self._has_head:
             return
         self._receiver = None
-        # A replica may answer before it has read the whole body; what is
-        # still to be written would be read as the next request.
+        # A replica may respond before it has read the complete body; the rest
+        # of the body would be read as the next request.
         is_clean = (
-            not self._closes
+            not self._must_close
             and self._has_length
             and self._transport.get_write_buffer_size() == 0
         )
         if is_clean and self.is_usable:
             loop = asyncio.get_running_loop()
-            self.usable_until = loop.time() + self._keep_s
-            # Bytes that follow the answer come in the same read; only after
-            # it is it known that there are none.
+            self.usable_until = loop.time() + self._keepalive_s
+            # Bytes that follow the response arrive in the same read; the
+            # connection may be reused only after that read, when it is known
+            # that there are none.
             loop.call_soon(self._release, self)
         else:
             self.close()
         receiver.on_complete()
 
-    # The caller's side.
+    # Methods for the pool and exchanges.
 
     def send(self, data: bytes, receiver: Receiver) -> None:
         """Starts an exchange."""
@@ -196,7 +197,7 @@
         self._transport.write(data)
 
     def close(self) -> None:
-        """Ends the connection at once, without a word to the receiver."""
+        """Closes the connection at once, without notifying the receiver."""
         self.is_usable = False
         self._receiver = None
         if self._transport is not None:
@@ -213,7 +214,7 @@
     """One request to one replica."""
 
     def __init__(self, pool: Pool, address: str, receiver: Receiver) -> None:
-        """Makes an exchange; `Pool.send_request` begins it."""
+        """Makes an exchange; `Pool.send_request` starts it."""
         self._pool = pool
         self._address = address
         self._receiver = receiver
@@ -221,7 +222,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self, data: bytes, *, fresh: bool) -> None:
-        """Sends a request over a kept connection, or over a new one."""
+        """Sends a request over a pooled connection, or over a new one."""
         connection = None if fresh else self._pool.acquire(self._address)
         if connection is not None:
             self._connection = connection
@@ -253,19 +254,19 @@
 
 
 class Pool:
-    """Kept connections to all replicas, newest first."""
+    """Idle connections to all replicas, newest first."""
 
     def __init__(self, bind_ip: str = "") -> None:
         """Makes a pool without connections.
 
         Args:
-            bind_ip: IP number that connections come from; empty for any.
+            bind_ip: Source IP address of connections; empty for any.
         """
         self._bind = (bind_ip, 0) if bind_ip else None
         self._idle: dict[str, collections.deque[Connection]] = (
             collections.defaultdict(collections.deque)
         )
-        self.opened = 0
+        self.opened_count = 0
 
     def send_request(
         self,
@@ -280,7 +281,7 @@
         Args:
             address: `ip:port` of the replica.
             data: The request, head and body.
-            receiver: Where the answer goes.
+            receiver: Receives the response.
             fresh: Whether a new connection must be used.
         """
         exchange = Exchange(self, address, receiver)
@@ -288,7 +289,7 @@
         return exchange
 
     def acquire(self, address: str) -> Connection | None:
-        """Returns a kept connection that its server still keeps, too."""
+        """Returns an idle connection that its server still keeps open."""
         idle = self._idle.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
@@ -302,9 +303,9 @@
         """Returns a new connection."""
         ip, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self.opened += 1
+        self.opened_count += 1
         _, connection = await loop.create_connection(
-            lambda: Connection(lambda c: self._keep(address, c)),
+            lambda: Connection(lambda c: self._add_idle(address, c)),
             ip,
             int(port),
             local_addr=self._bind,
@@ -312,7 +313,7 @@
         return connection
 
     def close_idle(self) -> None:
-        """Closes kept connections whose time is over; call it now and then."""
+        """Closes expired idle connections; to be called periodically."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle.items()):
             for connection in [c for c in idle if now >= c.usable_until]:
@@ -322,21 +323,21 @@
                 del self._idle[address]
 
     def close(self) -> None:
-        """Closes all kept connections."""
+        """Closes all idle connections."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.close()
         self._idle.clear()
 
-    def _keep(self, address: str, connection: Connection) -> None:
+    def _add_idle(self, address: str, connection: Connection) -> None:
         if connection.is_usable:
             self._idle[address].append(connection)
 
 
-def _read_timeout(value: bytes) -> float:
-    """Returns how long a connection may be kept, by a Keep-Alive header."""
+def _parse_keepalive(value: bytes) -> float:
+    """Returns how long to keep a connection, by its Keep-Alive header."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and number.strip().isdigit():
             return max(0.0, float(number) - EXPIRY_MARGIN_S)
-    return DEFAULT_KEEP_S
+    return DEFAULT_KEEPALIVE_S
--- a/src/hickorylead/runtime/waiters.py
+++ b/src/hickorylead/runtime/waiters.py
@@ -1,4 +1,4 @@
-"""Where HTTP handlers wait for what the reducer decides."""
+"""Futures on which HTTP handlers wait for effects of the reducer."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class Waiters(Generic[T]):
-    """One future for each question that is open."""
+    """Futures of pending requests, by name."""
 
     def __init__(self) -> None:
-        """Makes a place where nobody waits."""
+        """Makes an empty set of waiters."""
         self._futures: dict[str, list[asyncio.Future[T]]] = {}
 
     def wait(self, name: str) -> asyncio.Future[T]:
-        """Returns the future of a question; several may share a name."""
+        """Returns a new future; several may share a name."""
         future: asyncio.Future[T] = asyncio.get_running_loop().create_future()
         self._futures.setdefault(name, []).append(future)
         return future
 
-    def answer(self, name: str, value: T) -> None:
-        """Gives the answer to all who wait under a name."""
+    def resolve(self, name: str, value: T) -> None:
+        """Resolves all futures of a name."""
         for future in self._futures.pop(name, []):
             if not future.done():
                 future.set_result(value)
--- a/tests/steps/caller_steps.py
+++ b/tests/steps/caller_steps.py
@@ -130,7 +130,7 @@
             ip,
             port,
             listener.ListenerLimits(),
-            opened=context.opened,
+            listening_socket=context.opened,
         )
         await subject.start()
         async with asyncio.timeout(5):
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -85,7 +85,7 @@
         links = make_peers("127.0.0.1:9")
         for number in range(count):
             links.send("z/vm1/control", make_message(number))
-        context.waiting = len(links._links["z/vm1/control"].waiting)
+        context.waiting = len(links._links["z/vm1/control"].queue)
         await links.close()
 
     asyncio.run(run())
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -87,7 +87,7 @@
     shell = day.gateway
     routes = take_configuration(shell)
     early = asyncio.ensure_future(day.send_request("/alerts/1", b"tree"))
-    await day.wait_for(lambda: shell.waiting_to_start == 1)
+    await day.wait_for(lambda: shell.waiting_for_configuration == 1)
     assert not early.done()
     shell.role.routes = routes
     shell._configured.set()
@@ -306,7 +306,7 @@
     await day.wait_for(lambda: saved_value.SavedValue(folder, "crashes").value)
     follower = coordinator.CoordinatorProcess(
         shell.settings,
-        dialect=shell._dialect,
+        server_codec=shell._server_codec,
         read_document=documents.read_packed,
         make_app=shell._make_app,
         reload=shell._reload,
