--- a/src/hickorylead/platform/__init__.py
+++ b/src/hickorylead/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Codecs for the users' platform: its names, formats and HTTP calls.
 
-The platform's names end here. Each is decoded once, into a type of the product
-whose fields say what they hold.
+This package makes no decisions. The platform's names appear nowhere else: each
+is decoded once, into a type of the product with descriptive field names.
 """
--- a/src/hickorylead/platform/__main__.py
+++ b/src/hickorylead/platform/__main__.py
@@ -5,9 +5,9 @@
 import gc
 import sys
 
-# What is imported stays for good. To look for garbage among it meanwhile takes
-# a tenth of the time that a process needs to start, and callers wait for that
-# after a loss of power.
+# Imported objects live as long as the process. Collecting garbage during the
+# imports takes a tenth of the start-up time, and after a power loss callers
+# wait for the start.
 gc.disable()
 
 from hickorylead.platform import program  # noqa: E402
--- a/src/hickorylead/platform/control.py
+++ b/src/hickorylead/platform/control.py
@@ -1,4 +1,4 @@
-"""The calls of backend servers and operators on the platform."""
+"""HTTP API of a coordinator for backend servers and operators."""
 
 from __future__ import annotations
 
@@ -20,84 +20,100 @@
 MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 
 
-def make_app(shell: coordinator.CoordinatorProcess) -> applications.Starlette:
-    """Returns the interface of a coordinator."""
-    views = _Views(shell)
+def make_app(process: coordinator.CoordinatorProcess) -> applications.Starlette:
+    """Returns the HTTP application of a coordinator."""
+    views = _Views(process)
     return applications.Starlette(
         routes=[
             routing.Route(
-                "/instances/{name}/heartbeat", views.hear, methods=["POST"]
+                "/instances/{name}/heartbeat",
+                views.handle_heartbeat,
+                methods=["POST"],
             ),
             routing.Route(
-                "/instances/{name}/deregister", views.end, methods=["POST"]
+                "/instances/{name}/deregister",
+                views.handle_deregistration,
+                methods=["POST"],
             ),
-            routing.Route("/config/replace", views.replace, methods=["POST"]),
-            routing.Route("/config/read", views.read, methods=["GET"]),
+            routing.Route(
+                "/config/replace", views.handle_replace, methods=["POST"]
+            ),
+            routing.Route("/config/read", views.handle_read, methods=["GET"]),
         ]
     )
 
 
 class _Views:
-    def __init__(self, shell: coordinator.CoordinatorProcess) -> None:
-        self._shell = shell
+    def __init__(self, process: coordinator.CoordinatorProcess) -> None:
+        self._process = process
 
-    async def hear(self, request: requests.Request) -> responses.Response:
+    async def handle_heartbeat(
+        self, request: requests.Request
+    ) -> responses.Response:
         body = await _read_body(request, MAX_HEARTBEAT_BYTES)
         if body is None:
             return _refuse(413, "the body is too large")
-        match servers.read_heartbeat(request.path_params["name"], body):
+        match servers.decode_heartbeat(request.path_params["name"], body):
             case result.Success(instance):
-                self._shell.receive_heartbeat(instance)
-                return _answer({})
+                self._process.receive_heartbeat(instance)
+                return _respond({})
             case result.Failure(problem):
                 return _refuse(400, problem)
         raise AssertionError("a result is a success or a failure")
 
-    async def end(self, request: requests.Request) -> responses.Response:
+    async def handle_deregistration(
+        self, request: requests.Request
+    ) -> responses.Response:
         body = await _read_body(request, MAX_HEARTBEAT_BYTES)
-        match servers.read_born(body or b""):
+        match servers.decode_born(body or b""):
             case result.Success(born):
-                self._shell.deregister(request.path_params["name"], born)
-                return _answer({})
+                self._process.deregister(request.path_params["name"], born)
+                return _respond({})
             case result.Failure(problem):
                 return _refuse(400, problem)
         raise AssertionError("a result is a success or a failure")
 
-    async def replace(self, request: requests.Request) -> responses.Response:
+    async def handle_replace(
+        self, request: requests.Request
+    ) -> responses.Response:
         body = await _read_body(request, MAX_CONFIGURATION_BYTES)
         if body is None:
             return _refuse(413, "the configuration is too large")
-        match documents.read_document(body):
-            case result.Success(found):
-                lasts = await self._shell.replace_configuration(
-                    found.version, document.compress_content(body)
+        match documents.decode_document(body):
+            case result.Success(configuration):
+                is_committed = await self._process.replace_configuration(
+                    configuration.version, document.compress_content(body)
+                )
+                if is_committed:
+                    return _respond({})
+                return _refuse(
+                    503,
+                    "not known whether it was committed: send it again",
                 )
-                if lasts:
-                    return _answer({})
-                return _refuse(503, "not known whether it lasts: send it again")
             case result.Failure(problem):
                 return _refuse(400, problem)
         raise AssertionError("a result is a success or a failure")
 
-    async def read(self, _: requests.Request) -> responses.Response:
-        found = await self._shell.read_configuration()
-        if found is None or not found[0]:
+    async def handle_read(self, _: requests.Request) -> responses.Response:
+        newest = await self._process.read_configuration()
+        if newest is None or not newest[0]:
             return _refuse(503, "the newest configuration is not known here")
         return responses.Response(
-            document.decompress_content(found[1]), media_type="application/json"
+            document.decompress_content(newest[1]),
+            media_type="application/json",
         )
 
 
 async def _read_body(request: requests.Request, limit: int) -> bytes | None:
     body = bytearray()
-    async for piece in request.stream():
-        body += piece
+    async for chunk in request.stream():
+        body += chunk
         if len(body) > limit:
             return None
     return bytes(body)
 
 
-def _answer(body: dict[str, str]) -> responses.Response:
+def _respond(body: dict[str, str]) -> responses.Response:
     return responses.Response(orjson.dumps(body), media_type="application/json")
 
 
--- a/src/hickorylead/platform/documents.py
+++ b/src/hickorylead/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, from JSON into the product's types."""
+"""Decodes the platform's configuration from JSON."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 }
 
 
-def read_packed(packed: bytes) -> result.Result[document.Document, str]:
-    """Returns the configuration in bytes that were packed for the log."""
+def decode_compressed(
+    compressed: bytes,
+) -> result.Result[document.Document, str]:
+    """Returns the configuration that was compressed for the log."""
     try:
-        return read_document(document.decompress_content(packed))
+        return decode_document(document.decompress_content(compressed))
     except ValueError as error:
         return result.Failure(str(error))
 
 
-def read_document(data: bytes) -> result.Result[document.Document, str]:
-    """Returns the configuration in a body, or why there is none."""
+def decode_document(data: bytes) -> result.Result[document.Document, str]:
+    """Returns the configuration in a request body, or why it is invalid."""
     try:
-        found = _read(orjson.loads(data))
+        decoded = _decode(orjson.loads(data))
     except KeyError as error:
         return result.Failure(f"the field {error.args[0]} is missing")
     except (
@@ -39,20 +41,20 @@
         TypeError,
         AttributeError,
     ) as error:
-        return result.Failure(f"cannot be read: {error}")
-    problems = document.check_document(found)
+        return result.Failure(f"cannot be decoded: {error}")
+    problems = document.check_document(decoded)
     if problems:
         return result.Failure("; ".join(problems))
-    return result.Success(found)
+    return result.Success(decoded)
 
 
-def _read(found: dict[str, Any]) -> document.Document:
-    limits = found.get("Limits") or {}
+def _decode(fields: dict[str, Any]) -> document.Document:
+    limits = fields.get("Limits") or {}
     default = document.Limits()
     return document.Document(
-        version=values.read_whole(found["Version"]),
-        routes=tuple(_read_route(route) for route in found["Routes"]),
-        services=tuple(_read_service(s) for s in found["Services"]),
+        version=values.expect_integer(fields["Version"]),
+        routes=tuple(_decode_route(route) for route in fields["Routes"]),
+        services=tuple(_decode_service(s) for s in fields["Services"]),
         limits=document.Limits(
             max_header_bytes=int(
                 limits.get("MaxHeaderBytes", default.max_header_bytes)
@@ -60,96 +62,100 @@
             max_body_bytes=int(
                 limits.get("MaxBodyBytes", default.max_body_bytes)
             ),
-            header_timeout_s=_read_ms(
+            header_timeout_s=_decode_ms(
                 limits, "HeaderTimeoutMs", default.header_timeout_s
             ),
-            idle_timeout_s=_read_ms(
+            idle_timeout_s=_decode_ms(
                 limits, "IdleTimeoutMs", default.idle_timeout_s
             ),
         ),
         workspaces=tuple(
             document.Workspace(
-                name=values.read_text(tenant["Name"]),
-                keys=tuple(map(values.read_text, tenant.get("ApiKeys") or ())),
-                priority=tenant.get("Priority"),
+                name=values.expect_string(workspace["Name"]),
+                keys=tuple(
+                    map(values.expect_string, workspace.get("ApiKeys") or ())
+                ),
+                priority=workspace.get("Priority"),
             )
-            for tenant in found.get("Tenants") or ()
+            for workspace in fields.get("Tenants") or ()
         ),
     )
 
 
-def _read_route(found: dict[str, Any]) -> document.Route:
-    split = found.get("TrafficSplit")
+def _decode_route(fields: dict[str, Any]) -> document.Route:
+    split = fields.get("TrafficSplit")
     if split:
         targets = tuple(
             document.Target(
-                values.read_text(part["Service"]), float(part["Weight"])
+                values.expect_string(part["Service"]), float(part["Weight"])
             )
             for part in split
         )
     else:
-        targets = (document.Target(values.read_text(found["Service"]), 1.0),)
+        targets = (
+            document.Target(values.expect_string(fields["Service"]), 1.0),
+        )
     return document.Route(
-        name=values.read_text(found["Name"]),
-        host=values.read_text(found["Hostname"]),
-        prefix=values.read_text(found["PathPrefix"]),
-        kind=_KINDS[found["Kind"]],
+        name=values.expect_string(fields["Name"]),
+        host=values.expect_string(fields["Hostname"]),
+        prefix=values.expect_string(fields["PathPrefix"]),
+        kind=_KINDS[fields["Kind"]],
         targets=targets,
-        timeout_s=float(found["TimeoutMs"]) * _MS,
-        objective_s=_read_ms(found, "TargetLatencyMs", 1.0),
-        max_event_gap_s=_read_ms(found, "GapTargetMs", 0.0),
-        priority=int(found.get("Priority", 1)),
-        max_attempts=max(1, int(found.get("MaxAttempts", 1))),
-        # The wire says which routes are open to everybody.
-        needs_key=not found.get("AuthExempt", False),
-        # Set on the routes whose requests carry a prompt; the name speaks of
-        # sessions, but it is the model and prompt headers that it announces.
-        has_prompts=bool(found.get("SessionAffinity", False)),
-        resumable=bool(found.get("StreamResume", False)),
+        timeout_s=float(fields["TimeoutMs"]) * _MS,
+        objective_s=_decode_ms(fields, "TargetLatencyMs", 1.0),
+        max_event_gap_s=_decode_ms(fields, "GapTargetMs", 0.0),
+        priority=int(fields.get("Priority", 1)),
+        max_attempts=max(1, int(fields.get("MaxAttempts", 1))),
+        # The platform marks the routes that need no key.
+        needs_key=not fields.get("AuthExempt", False),
+        # Despite its name, this field marks routes whose requests carry a
+        # prompt, announced by the model and prompt headers.
+        has_prompts=bool(fields.get("SessionAffinity", False)),
+        resumable=bool(fields.get("StreamResume", False)),
     )
 
 
-def _read_service(found: dict[str, Any]) -> document.Service:
-    engine = found.get("Engine")
+def _decode_service(fields: dict[str, Any]) -> document.Service:
+    engine = fields.get("Engine")
     return document.Service(
-        name=values.read_text(found["Name"]),
-        health_path=str(found.get("HealthPath", "/health")),
-        max_connections=max(0, int(found.get("MaxConnections", 0))),
-        engine=_read_engine(engine) if engine else None,
+        name=values.expect_string(fields["Name"]),
+        health_path=str(fields.get("HealthPath", "/health")),
+        max_connections=max(0, int(fields.get("MaxConnections", 0))),
+        engine=_decode_engine(engine) if engine else None,
     )
 
 
-def _read_engine(found: dict[str, Any]) -> document.EngineProfile:
+def _decode_engine(fields: dict[str, Any]) -> document.EngineProfile:
     return document.EngineProfile(
-        slots=int(found["Slots"]),
-        kv_cache_tokens=int(found.get("KvCapacityTokens", 0)),
-        decode_step_s=float(found["step_ms"]) * _MS,
-        decode_step_per_request_s=float(found.get("per_seq_ms", 0.0)) * _MS,
-        # Given for 1,000 tokens of context.
-        decode_step_per_context_token_s=float(found.get("context_per_k", 0.0))
+        slots=int(fields["Slots"]),
+        kv_cache_tokens=int(fields.get("KvCapacityTokens", 0)),
+        decode_step_s=float(fields["step_ms"]) * _MS,
+        decode_step_per_request_s=float(fields.get("per_seq_ms", 0.0)) * _MS,
+        # In milliseconds per 1,000 tokens of context.
+        decode_step_per_context_token_s=float(fields.get("context_per_k", 0.0))
         * _MS
         / 1000,
-        prefill_per_token_s=1.0 / max(1.0, float(found["read_per_s"])),
-        prefill_chunk_tokens=int(found.get("chunk", 2048)),
-        steps_per_event=int(found.get("Stride", 1)),
+        prefill_per_token_s=1.0 / max(1.0, float(fields["read_per_s"])),
+        prefill_chunk_tokens=int(fields.get("chunk", 2048)),
+        steps_per_event=int(fields.get("Stride", 1)),
         models=tuple(
             document.ModelProfile(
-                name=values.read_text(model["Name"]),
+                name=values.expect_string(model["Name"]),
                 group_size=int(model["size"]),
                 initial_vm_share=float(model.get("Share", 0.0)),
                 time_factor=float(model.get("pace", 1.0)),
                 load_s=float(model.get("LoadS", 0.0)),
                 staged_load_s=float(model.get("WarmS", 0.0)),
             )
-            for model in found.get("Models") or ()
+            for model in fields.get("Models") or ()
         ),
-        max_load_starts_per_s=float(found.get("LoadsPerS", 1.0)),
-        max_concurrent_loads=int(found.get("loads_at_once", 0)),
-        max_staged_models=int(found.get("RetainedCount", 1)),
-        group_start_s=float(found.get("FormMs", 0.0)) * _MS,
+        max_load_starts_per_s=float(fields.get("LoadsPerS", 1.0)),
+        max_concurrent_loads=int(fields.get("loads_at_once", 0)),
+        max_staged_models=int(fields.get("RetainedCount", 1)),
+        group_start_s=float(fields.get("FormMs", 0.0)) * _MS,
     )
 
 
-def _read_ms(found: dict[str, Any], name: str, default: float) -> float:
-    value = found.get(name)
+def _decode_ms(fields: dict[str, Any], name: str, default: float) -> float:
+    value = fields.get(name)
     return default if value is None else float(value) * _MS
--- a/src/hickorylead/platform/headers.py
+++ b/src/hickorylead/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, to and from the product's types."""
+"""Codec of the platform's HTTP headers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 _BUDGET = b"time-budget"
 _KEY = b"authorization"
 _WORKSPACE = b"tenant"
-_EXPECTED = b"expect-instance"
+_EXPECTED_SERVER = b"expect-instance"
 _LAST_EVENT = b"last-event-id"
 _MODEL = b"model"
-_TOKENS = b"token-count"
-_SEAL = b"server-seal"
+_TOKEN_COUNTS = b"token-count"
+_SIGNATURE = b"server-seal"
 _NOT_RUN = b"not-executed"
 _LOAD = b"server-load"
 _LIMIT = b"server-limit"
@@ -31,8 +31,8 @@
 _RANK = b"urgency-class"
 _FAULTY_SERVER = b"at-server"
 
-# Headers that concern one connection only, and those that are written anew.
-_NOT_PASSED_ON = frozenset(
+# Headers of a single connection, and those that the gateway removes or sets.
+_NOT_FORWARDED = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -48,16 +48,16 @@
         _BUDGET,
         _KEY,
         _WORKSPACE,
-        _EXPECTED,
+        _EXPECTED_SERVER,
         _LAST_EVENT,
         _RANK,
     }
 )
-# Statuses with which a replica may ask for a pause.
-_PAUSING = (429, 503)
-# Longest pause that is taken from a replica, in seconds.
-LONGEST_PAUSE_S = 86400.0
-_NOT_GIVEN_BACK = frozenset(
+# Statuses with which a replica may request a pause.
+_PAUSE_STATUSES = (429, 503)
+# Upper limit of the pause that a replica can request, in seconds.
+MAX_PAUSE_S = 86400.0
+_NOT_RETURNED = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -72,49 +72,51 @@
 
 
 class PlatformHeaderCodec(header_codec.HeaderCodec):
-    """Requests and answers, in the platform's words."""
+    """Codec of the platform's request and response headers."""
 
     def decode_metadata(
         self, headers: Iterable[model.Header]
     ) -> model.RequestMetadata | str:
-        """Returns what a caller says, or what is wrong with its headers."""
-        found = dict(headers)
+        """Returns the caller's metadata, or what is wrong with its headers."""
+        fields = dict(headers)
         try:
-            prompt, answer = _read_pair(found.get(_TOKENS))
-            budget = found.get(_BUDGET)
-            key = found.get(_KEY, b"").decode("latin-1")
-            scheme, _, token = key.partition(" ")
+            prompt_tokens, max_output_tokens = _decode_token_counts(
+                fields.get(_TOKEN_COUNTS)
+            )
+            budget = fields.get(_BUDGET)
+            authorization = fields.get(_KEY, b"").decode("latin-1")
+            scheme, _, token = authorization.partition(" ")
             return model.RequestMetadata(
-                attempt_id=found.get(_ATTEMPT, b"").decode("latin-1"),
+                attempt_id=fields.get(_ATTEMPT, b"").decode("latin-1"),
                 budget_s=None if budget is None else int(budget) / 1000.0,
                 key=token.strip() if scheme.lower() == "token" else "",
-                model=found.get(_MODEL, b"").decode("latin-1"),
-                prompt_tokens=prompt,
-                max_output_tokens=answer,
-                last_event_id=int(found.get(_LAST_EVENT, b"0")),
+                model=fields.get(_MODEL, b"").decode("latin-1"),
+                prompt_tokens=prompt_tokens,
+                max_output_tokens=max_output_tokens,
+                last_event_id=int(fields.get(_LAST_EVENT, b"0")),
             )
         except ValueError as error:
-            return f"a header cannot be read: {error}"
+            return f"a header cannot be decoded: {error}"
 
     def list_forwarded_headers(
         self, headers: Iterable[model.Header], workspace: str
     ) -> tuple[model.Header, ...]:
-        """Returns the headers to pass on, whatever the attempt."""
+        """Returns the headers to forward, the same for every attempt."""
         all_headers = list(headers)
-        named = {
+        connection_headers = {
             name.strip().lower()
             for header, value in all_headers
             if header == b"connection"
             for name in value.split(b",")
         }
-        passed = [
+        forwarded = [
             (name, value)
             for name, value in all_headers
-            if name not in _NOT_PASSED_ON and name not in named
+            if name not in _NOT_FORWARDED and name not in connection_headers
         ]
         if workspace:
-            passed.append((_WORKSPACE, workspace.encode("latin-1")))
-        return tuple(passed)
+            forwarded.append((_WORKSPACE, workspace.encode("latin-1")))
+        return tuple(forwarded)
 
     def encode_request_head(self, attempt: events.StartAttempt) -> bytes:
         """Returns the head of a request to a replica."""
@@ -126,7 +128,7 @@
         lines.append(_BUDGET + b": %d" % max(1, int(attempt.budget_s * 1000)))
         if request.route.has_prompts:
             lines.append(_RANK + b": %d" % attempt.rank)
-        lines.append(_EXPECTED + b": " + attempt.replica.name.encode())
+        lines.append(_EXPECTED_SERVER + b": " + attempt.replica.name.encode())
         if request.body or request.method in ("POST", "PUT", "PATCH"):
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -134,28 +136,32 @@
     def decode_response_head(
         self, status: int, headers: Sequence[model.Header]
     ) -> model.ResponseHead:
-        """Returns the head of a replica's answer."""
-        found = dict(headers)
-        encoding = found.get(b"content-encoding", b"").lower()
-        unreadable: list[str] = []
+        """Returns the decoded head of a replica's response."""
+        fields = dict(headers)
+        encoding = fields.get(b"content-encoding", b"").lower()
+        malformed: list[str] = []
         return model.ResponseHead(
             status=status,
-            headers=tuple(h for h in headers if h[0] not in _NOT_GIVEN_BACK),
-            echoed_attempt_id=found.get(_ATTEMPT, b"").decode("latin-1"),
-            is_signed=_SEAL in found,
-            # 421 says by itself that another server has the address, or that
-            # the group's head is elsewhere.
-            not_run=_NOT_RUN in found or status == 421,
+            headers=tuple(h for h in headers if h[0] not in _NOT_RETURNED),
+            echoed_attempt_id=fields.get(_ATTEMPT, b"").decode("latin-1"),
+            is_signed=_SIGNATURE in fields,
+            # Status 421 means that another server has the address now, or that
+            # this server is not the head of its group.
+            not_run=_NOT_RUN in fields or status == 421,
             has_content_encoding=encoding not in (b"", b"identity"),
-            load=_read(_read_load, found, _LOAD, unreadable),
-            limit_per_s=_read(_read_amount, found, _LIMIT, unreadable),
-            retry_after_s=_read(_read_pause, found, _RETRY_AFTER, unreadable)
-            if status in _PAUSING
+            load=_decode_header(_decode_load, fields, _LOAD, malformed),
+            limit_per_s=_decode_header(
+                _decode_amount, fields, _LIMIT, malformed
+            ),
+            retry_after_s=_decode_header(
+                _decode_pause, fields, _RETRY_AFTER, malformed
+            )
+            if status in _PAUSE_STATUSES
             else None,
-            is_leaving=found.get(_LEAVING, b"0") not in (b"", b"0"),
-            malformed_headers=tuple(unreadable),
+            is_leaving=fields.get(_LEAVING, b"0") not in (b"", b"0"),
+            malformed_headers=tuple(malformed),
             # A 421 names the server that has the address; it is not at fault.
-            faulty_server=found.get(_FAULTY_SERVER, b"").decode("latin-1")
+            faulty_server=fields.get(_FAULTY_SERVER, b"").decode("latin-1")
             if status == 503
             else "",
         )
@@ -163,7 +169,7 @@
     def write_refusal(
         self, refusal: events.Refuse, attempt_id: str
     ) -> tuple[tuple[model.Header, ...], bytes]:
-        """Returns headers and body of an answer of our own."""
+        """Returns the headers and body of a refusal."""
         body = orjson.dumps({"error": refusal.reason})
         headers: list[model.Header] = [(b"content-type", b"application/json")]
         if attempt_id:
@@ -173,41 +179,41 @@
         return tuple(headers), body
 
 
-def _read_pair(value: bytes | None) -> tuple[int, int]:
+def _decode_token_counts(value: bytes | None) -> tuple[int, int]:
     if not value:
         return 0, 0
     first, _, second = value.partition(b",")
     return int(first), int(second or b"0")
 
 
-def _read(
-    reader: Callable[[bytes], _Value],
-    found: Mapping[bytes, bytes],
+def _decode_header(
+    decode: Callable[[bytes], _Value],
+    fields: Mapping[bytes, bytes],
     name: bytes,
-    unreadable: list[str],
+    malformed: list[str],
 ) -> _Value | None:
-    """Returns the value of a header; None if it is missing or unreadable."""
-    value = found.get(name)
+    """Returns the value of a header; None if it is missing or malformed."""
+    value = fields.get(name)
     if not value:
         return None
     try:
-        return reader(value)
+        return decode(value)
     except ValueError:
-        unreadable.append(name.decode())
+        malformed.append(name.decode())
         return None
 
 
-def _read_load(value: bytes) -> model.Load:
+def _decode_load(value: bytes) -> model.Load:
     running, waiting, slots = (int(part) for part in value.split(b","))
     return model.Load(running, waiting, slots)
 
 
-def _read_amount(value: bytes) -> float:
+def _decode_amount(value: bytes) -> float:
     amount = float(value)
     if not math.isfinite(amount):
         raise ValueError(f"{value!r} is not finite")
     return max(0.0, amount)
 
 
-def _read_pause(value: bytes) -> float:
-    return min(LONGEST_PAUSE_S, _read_amount(value))
+def _decode_pause(value: bytes) -> float:
+    return min(MAX_PAUSE_S, _decode_amount(value))
--- a/src/hickorylead/platform/program.py
+++ b/src/hickorylead/platform/program.py
@@ -17,7 +17,7 @@
     from hickorylead.telemetry import decisions
 
 ROLES = ("gateway", "coordinator")
-# The deploy file names it; the settings file does not.
+# The deploy file sets this port; the settings file has no field for it.
 METRICS_PORT = 9417
 
 
@@ -27,13 +27,16 @@
         sys.stderr.write(f"hickorylead: name one role of {', '.join(ROLES)}\n")
         return errors.SettingsError.exit_code
     try:
-        found = settings_module.load_settings(arguments[0])
-        opened = None
+        settings = settings_module.load_settings(arguments[0])
+        listening_socket = None
         if arguments[0] == "gateway":
-            # The imports take a second of a small VM's time. A caller that
-            # comes meanwhile waits, instead of being turned away twice.
-            opened = sockets.listen(found.own_ip, found.caller_port)
-        _run_role(arguments[0], found, opened)
+            # The imports take a second on a small VM. With the socket open,
+            # callers that connect meanwhile wait; otherwise they would be
+            # refused twice.
+            listening_socket = sockets.listen(
+                settings.listen_ip, settings.caller_port
+            )
+        _run_role(arguments[0], settings, listening_socket)
     except errors.HickoryleadError as error:
         sys.stderr.write(f"hickorylead: {error}\n")
         return error.exit_code
@@ -45,8 +48,8 @@
 
 def _run_role(
     role: str,
-    found: settings_module.Settings,
-    opened: socket.socket | None,
+    settings: settings_module.Settings,
+    listening_socket: socket.socket | None,
 ) -> None:
     import asyncio
 
@@ -54,101 +57,101 @@
     from hickorylead.telemetry import decisions
 
     log = decisions.DecisionLog(
-        common={"role": role, "zone": found.zone, "vm": found.vm},
+        common={"role": role, "zone": settings.zone, "vm": settings.vm},
         clock=clock.read_boottime,
         wall=clock.read_wall,
     )
     if role == "gateway":
-        asyncio.run(_run_gateway(found, log, opened))
+        asyncio.run(_run_gateway(settings, log, listening_socket))
     else:
-        asyncio.run(_run_coordinator(found, log))
+        asyncio.run(_run_coordinator(settings, log))
 
 
 async def _run_gateway(
-    found: settings_module.Settings,
+    settings: settings_module.Settings,
     log: decisions.DecisionLog,
-    opened: socket.socket | None,
+    listening_socket: socket.socket | None,
 ) -> None:
     from hickorylead.platform import documents, headers
     from hickorylead.runtime import gateway
 
-    _keep_imports()
-    shell = gateway.GatewayProcess(
-        _make_gateway_settings(found),
+    _freeze_imports()
+    process = gateway.GatewayProcess(
+        _make_gateway_settings(settings),
         header_codec=headers.PlatformHeaderCodec(),
-        read_document=documents.read_packed,
+        read_document=documents.decode_compressed,
         reload=lambda: _make_gateway_settings(
             settings_module.load_settings("gateway")
         ),
         log=log,
-        listening_socket=opened,
+        listening_socket=listening_socket,
     )
-    await shell.run()
+    await process.run()
 
 
 async def _run_coordinator(
-    found: settings_module.Settings, log: decisions.DecisionLog
+    settings: settings_module.Settings, log: decisions.DecisionLog
 ) -> None:
     from hickorylead.platform import control, documents, servers
     from hickorylead.runtime import coordinator
 
-    _keep_imports()
-    shell = coordinator.CoordinatorProcess(
-        _make_coordinator_settings(found),
+    _freeze_imports()
+    process = coordinator.CoordinatorProcess(
+        _make_coordinator_settings(settings),
         server_codec=servers.PlatformServerCodec(),
-        read_document=documents.read_packed,
+        read_document=documents.decode_compressed,
         make_app=control.make_app,
         reload=lambda: _make_coordinator_settings(
             settings_module.load_settings("coordinator")
         ),
         log=log,
     )
-    await shell.run()
+    await process.run()
 
 
-def _keep_imports() -> None:
-    """Has the garbage collector leave alone what was imported until now."""
+def _freeze_imports() -> None:
+    """Excludes all imported objects from garbage collection."""
     gc.freeze()
     gc.enable()
 
 
 def _make_gateway_settings(
-    found: settings_module.Settings,
+    settings: settings_module.Settings,
 ) -> gateway.Settings:
     from hickorylead.runtime import gateway
 
     return gateway.Settings(
-        vm=found.vm,
-        zone=found.zone,
-        ip=found.ip,
-        bind_ip=found.bind_ip,
-        caller_port=found.caller_port,
-        ready_port=int(found.ready_address.rpartition(":")[2]),
-        peer_port=found.peer_port,
-        seeds=found.seeds,
+        vm=settings.vm,
+        zone=settings.zone,
+        ip=settings.ip,
+        bind_ip=settings.bind_ip,
+        caller_port=settings.caller_port,
+        ready_port=int(settings.ready_address.rpartition(":")[2]),
+        peer_port=settings.peer_port,
+        seeds=settings.seeds,
         metrics_port=METRICS_PORT,
-        grace_s=found.grace_s,
-        retry_limits=found.retries,
+        grace_s=settings.grace_s,
+        retry_limits=settings.retry_limits,
     )
 
 
 def _make_coordinator_settings(
-    found: settings_module.Settings,
+    settings: settings_module.Settings,
 ) -> coordinator.Settings:
     from hickorylead.runtime import coordinator
 
     return coordinator.Settings(
-        vm=found.vm,
-        zone=found.zone,
-        zones=found.zones,
-        ip=found.ip,
-        bind_ip=found.bind_ip,
-        control_port=found.control_port,
-        peer_port=found.peer_port,
-        seeds=found.seeds,
+        vm=settings.vm,
+        zone=settings.zone,
+        zones=settings.zones,
+        ip=settings.ip,
+        bind_ip=settings.bind_ip,
+        control_port=settings.control_port,
+        peer_port=settings.peer_port,
+        seeds=settings.seeds,
         metrics_port=METRICS_PORT,
-        may_bootstrap=found.is_first_start,
-        data_folder=found.data_folder,
-        heartbeat_s=found.heartbeat_s,
-        max_lost_disks=found.lost_disks,
+        may_bootstrap=settings.is_first_start,
+        data_folder=settings.data_folder,
+        heartbeat_s=settings.heartbeat_s,
+        max_lost_disks=settings.max_lost_disks,
     )
--- a/src/hickorylead/platform/servers.py
+++ b/src/hickorylead/platform/servers.py
@@ -1,4 +1,4 @@
-"""What backend servers tell, and the orders they take, on the platform."""
+"""Codec of backend servers' heartbeats, reports and orders."""
 
 from __future__ import annotations
 
@@ -31,132 +31,134 @@
 )
 
 
-def read_heartbeat(
+def decode_heartbeat(
     name: str, body: bytes
 ) -> result.Result[instances.Instance, str]:
-    """Returns what a heartbeat tells, or why it cannot be read.
+    """Returns the server that a heartbeat describes, or why it is invalid.
 
-    Heartbeats may come from other programs. One with a field that is missing or
-    of another type, or with a state that is not known here, is refused whole:
-    what it says of the rest can't be trusted either.
+    Heartbeats may come from other programs. One with a missing field, a field
+    of the wrong type or an unknown state is rejected completely, because its
+    other fields can't be trusted either.
 
     Args:
-        name: Id of the server, from the path of the call.
-        body: The call's body.
+        name: Id of the server, from the request path.
+        body: Request body.
     """
     try:
-        found = values.read_table(orjson.loads(body))
+        fields = values.expect_object(orjson.loads(body))
         return result.Success(
             instances.Instance(
                 name=name,
-                service=values.read_text(found["Service"]),
-                address=_read_address(found["Address"]),
-                zone=values.read_text(found["Zone"]),
-                domain=values.read_text(found.get("Domain") or ""),
-                slots=max(1, values.read_whole(found.get("Slots", 1))),
-                phase=_PHASES[values.read_text(found["State"])],
-                # On this call it counts heartbeats; elsewhere, orders.
-                sequence=values.read_whole(found["Sequence"]),
-                models=_read_names(found.get("Models")),
-                staged=_read_names(found.get("Staged")),
-                member=_read_member(found.get("group")),
-                born=values.read_whole(found.get("born", 0)),
+                service=values.expect_string(fields["Service"]),
+                address=_decode_address(fields["Address"]),
+                zone=values.expect_string(fields["Zone"]),
+                domain=values.expect_string(fields.get("Domain") or ""),
+                slots=max(1, values.expect_integer(fields.get("Slots", 1))),
+                phase=_PHASES[values.expect_string(fields["State"])],
+                # In heartbeats this counts heartbeats; in reports, orders.
+                sequence=values.expect_integer(fields["Sequence"]),
+                models=_decode_names(fields.get("Models")),
+                staged=_decode_names(fields.get("Staged")),
+                member=_decode_member(fields.get("group")),
+                born=values.expect_integer(fields.get("born", 0)),
             )
         )
     except KeyError as error:
         return result.Failure(f"the field {error.args[0]} is missing or wrong")
     except (orjson.JSONDecodeError, ValueError, TypeError) as error:
-        return result.Failure(f"cannot be read: {error}")
+        return result.Failure(f"cannot be decoded: {error}")
 
 
-def read_born(body: bytes) -> result.Result[int, str]:
-    """Returns when the life began that a call is about; 0 if unsaid."""
+def decode_born(body: bytes) -> result.Result[int, str]:
+    """Returns the start time of the incarnation; 0 if not specified."""
     if not body.strip():
         return result.Success(0)
     try:
-        found = orjson.loads(body)
-        if not isinstance(found, dict):
+        fields = orjson.loads(body)
+        if not isinstance(fields, dict):
             return result.Success(0)
-        return result.Success(values.read_whole(found.get("born", 0)))
+        return result.Success(values.expect_integer(fields.get("born", 0)))
     except (orjson.JSONDecodeError, TypeError) as error:
-        return result.Failure(f"cannot be read: {error}")
+        return result.Failure(f"cannot be decoded: {error}")
 
 
-def _read_address(value: Any) -> str:
-    address = values.read_text(value)
+def _decode_address(value: Any) -> str:
+    address = values.expect_string(value)
     ip, colon, port = address.rpartition(":")
     if not colon or not ip or not port.isdigit():
         raise ValueError(f"{address!r:.40} is not ip:port")
     return address
 
 
-def _read_names(found: Any) -> tuple[str, ...]:
-    if found is None:
+def _decode_names(fields: Any) -> tuple[str, ...]:
+    if fields is None:
         return ()
-    if not isinstance(found, list):
-        raise TypeError(f"{found!r:.40} is not a list")
+    if not isinstance(fields, list):
+        raise TypeError(f"{fields!r:.40} is not a list")
     return tuple(
-        values.read_text(model["Name"] if isinstance(model, dict) else model)
-        for model in found
+        values.expect_string(
+            model["Name"] if isinstance(model, dict) else model
+        )
+        for model in fields
     )
 
 
-def _read_member(value: Any) -> instances.Membership:
+def _decode_member(value: Any) -> instances.Membership:
     if value is None:
         return instances.Membership()
-    found = values.read_table(value)
-    if not found.get("Name"):
+    fields = values.expect_object(value)
+    if not fields.get("Name"):
         return instances.Membership()
-    state = values.read_text(found["State"])
+    state = values.expect_string(fields["State"])
     if state not in _GROUP_STATES:
-        raise ValueError(f"{state!r:.40} is no state of a group")
+        raise ValueError(f"{state!r:.40} is not a state of a group")
     return instances.Membership(
-        group=values.read_text(found["Name"]),
-        epoch=values.read_whole(found["epoch"]),
-        rank=values.read_whole(found["rank"]),
+        group=values.expect_string(fields["Name"]),
+        epoch=values.expect_integer(fields["epoch"]),
+        rank=values.expect_integer(fields["rank"]),
         state=state,
     )
 
 
 class PlatformServerCodec(server_codec.ServerCodec):
-    """Orders and questions, in the platform's words."""
+    """Codec of the platform's calls between coordinators and servers."""
 
     def encode_order(self, give: orders.SendOrder) -> server_codec.HttpCall:
-        """Returns the call that gives an order."""
-        body = _write_order(give.order)
+        """Returns the call that sends an order."""
+        body = _encode_order(give.order)
         if give.expected is not None:
             # The number of orders that the server must have accepted.
             body["Expected"] = give.expected
         return server_codec.HttpCall("POST", "/order", orjson.dumps(body))
 
     def encode_report_request(self) -> server_codec.HttpCall:
-        """Returns the call that asks for a server's state."""
+        """Returns the call that probes a server's state."""
         return server_codec.HttpCall("GET", "/report")
 
     def decode_notice(
         self, status: int, headers: Sequence[tuple[bytes, bytes]]
     ) -> server_codec.Notice:
-        """Returns what an answer says about calls to come."""
+        """Returns the notice about future calls in an HTTP response."""
         head = headers_module.PlatformHeaderCodec().decode_response_head(
             status, headers
         )
         return server_codec.Notice(head.retry_after_s, head.is_leaving)
 
     def decode_report(self, body: bytes) -> server_codec.ServerReport | None:
-        """Returns what a server tells of its state; None if unreadable."""
+        """Returns a server's report of its state; None if malformed."""
         try:
-            found = values.read_table(orjson.loads(body))
+            fields = values.expect_object(orjson.loads(body))
             return server_codec.ServerReport(
-                # On this call it counts orders; in heartbeats, heartbeats.
-                accepted=values.read_whole(found["Sequence"]),
-                born=values.read_whole(found.get("born", 0)),
-                member=_read_member(found.get("group")),
+                # In reports this counts orders; in heartbeats, heartbeats.
+                accepted=values.expect_integer(fields["Sequence"]),
+                born=values.expect_integer(fields.get("born", 0)),
+                member=_decode_member(fields.get("group")),
             )
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
             return None
 
 
-def _write_order(order: orders.Order) -> dict[str, Any]:
+def _encode_order(order: orders.Order) -> dict[str, Any]:
     match order:
         case orders.Join():
             return {
--- a/src/hickorylead/platform/settings.py
+++ b/src/hickorylead/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: lines of `a.b=value`, lists with commas."""
+"""Decodes the settings file: lines of `a.b=value`, lists with commas."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 _T = TypeVar("_T")
 
 PATH_VARIABLE = "HICKORYLEAD_NODE_FILE"
-# Where others reach a process by another address than its own, behind address
-# translation, this names its own one: it listens there, and calls from there.
+# Behind address translation, others reach a process at an address that is not
+# its own. This variable holds its own address, from which it listens and calls.
 BIND_VARIABLE = "HICKORYLEAD_BIND_IP"
 
 
 @attrs.frozen
 class Settings:
-    """What a process is told, under the product's names.
+    """Settings of a process, under the product's names.
 
     Attributes:
         vm: Name of the VM.
-        ip: Its IP number.
+        ip: Its IP address, as others reach it.
         zone: Its availability zone.
         zones: All availability zones.
         caller_port: Port for callers; 0 on a coordinator.
@@ -36,13 +36,13 @@
         control_port: Port for backend servers and operators; 0 on a gateway.
         peer_port: Port for the other processes of the system.
         seeds: Peer addresses of a few coordinators.
-        is_first_start: Whether the whole system starts for the first time.
-        data_folder: Folder on a disk; empty if there is none.
-        heartbeat_s: Pause between heartbeats of backend servers, in seconds.
+        is_first_start: Whether the cluster starts for the first time.
+        data_folder: Data folder on a disk; empty if there is none.
+        heartbeat_s: Interval of backend servers' heartbeats, in seconds.
         grace_s: Time between SIGTERM and SIGKILL, in seconds.
-        lost_disks: Disks that may be lost at the same time.
-        retries: Retries that all gateways may make together.
-        bind_ip: IP number that the process binds; empty if it is `ip`.
+        max_lost_disks: Disks that may be lost at the same time.
+        retry_limits: Limits of the retries of all gateways together.
+        bind_ip: IP address that the process binds; empty if it is `ip`.
     """
 
     vm: str
@@ -58,25 +58,26 @@
     data_folder: str
     heartbeat_s: float
     grace_s: float
-    lost_disks: int
-    retries: budget.RetryLimits
+    max_lost_disks: int
+    retry_limits: budget.RetryLimits
     bind_ip: str = ""
 
     @property
-    def own_ip(self) -> str:
-        """The IP number on which the process listens."""
+    def listen_ip(self) -> str:
+        """The IP address on which the process listens."""
         return self.bind_ip or self.ip
 
 
 def read_settings(environment: Mapping[str, str], *, role: str) -> Settings:
-    """Returns the settings of a process.
+    """Returns the settings from the file that the environment names.
 
     Args:
         environment: Environment variables.
-        role: `gateway` or `coordinator`; each needs other fields.
+        role: `gateway` or `coordinator`; their required fields differ.
 
     Raises:
-        errors.SettingsError: Fields are missing or wrong; it names them all.
+        errors.SettingsError: Fields are missing or wrong. The message names
+            all of them.
     """
     path = environment.get(PATH_VARIABLE, "")
     if not path:
@@ -90,15 +91,16 @@
 
 
 def load_settings(role: str) -> Settings:
-    """Returns the settings that the environment names."""
+    """Returns the settings from the file that `os.environ` names."""
     return read_settings(os.environ, role=role)
 
 
 def parse_settings(text: str, *, role: str) -> Settings:
-    """Returns the settings in a text; fields that are unknown are ignored.
+    """Returns the settings in a text; unknown fields are ignored.
 
     Raises:
-        errors.SettingsError: Fields are missing or wrong; it names them all.
+        errors.SettingsError: Fields are missing or wrong. The message names
+            all of them.
     """
     reader = _Reader(text)
     is_gateway = role == "gateway"
@@ -131,10 +133,10 @@
         ),
         heartbeat_s=reader.read("HeartbeatMs", float, 1000.0) / 1000.0,
         grace_s=reader.read("Bounds.GraceS", float, 8.0, optional=True),
-        lost_disks=reader.read(
+        max_lost_disks=reader.read(
             "FaultTolerance.Machines", int, 1, optional=True
         ),
-        retries=budget.RetryLimits(
+        retry_limits=budget.RetryLimits(
             ratio=reader.read("Bounds.BudgetRatio", float, 0.2, optional=True),
             burst=reader.read(
                 "Bounds.BudgetExtra", float, 100.0, optional=True
--- a/src/hickorylead/storage/folder.py
+++ b/src/hickorylead/storage/folder.py
@@ -1,4 +1,4 @@
-"""The data folder of a voter: whose it is, its incarnation, its journal."""
+"""The data folder of a voter: its identity, incarnation and journal."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 _IDENTITY_FILE = "identity.json"
 _JOURNAL_FILE = "journal"
 _PROBE_FILE = "probe"
-# Room for a few of the largest configurations that we know, in bytes.
+# Size of the probe file: a few of the largest configurations in use.
 PROBE_BYTES = 64 * 1024
-# A snapshot replaces the journal when it has grown to this many records.
-REWRITE_EVERY = 1024
+# A snapshot replaces the journal when it has this many records.
+COMPACTION_RECORDS = 1024
 
 
 class DataFolder:
     """The files of one voter under its data folder."""
 
     def __init__(self, path: pathlib.Path, node: str) -> None:
-        """Opens a data folder, or makes a new one.
+        """Opens a data folder, or creates it.
 
         Args:
             path: The folder.
-            node: Name of the control process it must belong to.
+            node: Name of the control process that it must belong to.
 
         Raises:
-            errors.DataFolderError: It is damaged, belongs to another VM, or
-                cannot be written.
+            errors.DataFolderError: The folder is damaged, belongs to another
+                VM, or cannot be written.
         """
         self._path = path
         try:
@@ -60,19 +60,19 @@
         self._count += 1
 
     def needs_compaction(self) -> bool:
-        """Says whether the journal should be replaced by what it amounts to."""
-        return self._count >= REWRITE_EVERY
+        """Returns whether the journal should be replaced by a snapshot."""
+        return self._count >= COMPACTION_RECORDS
 
     def rewrite(self, records: list[messages.Record]) -> None:
-        """Replaces the journal by records that amount to the same."""
+        """Replaces the journal by records that restore the same state."""
         self._journal.rewrite(codec.encode_record(r) for r in records)
         self._count = len(records)
 
     def check_writable(self) -> None:
-        """Writes and syncs something, to see whether the disk takes it.
+        """Writes, syncs and removes a probe file.
 
         Raises:
-            OSError: It does not.
+            OSError: The disk cannot be written.
         """
         probe = self._path / _PROBE_FILE
         with open(probe, "wb") as file:
--- a/src/hickorylead/storage/journal.py
+++ b/src/hickorylead/storage/journal.py
@@ -1,8 +1,9 @@
 """The journal: records of a voter in one file, synced one by one.
 
-A record is a length, a checksum and the bytes. After a record is synced, a
-mark is written behind it. The mark itself is not synced: it tells, after all
-but a loss of power, that the record before it may have been acknowledged.
+A record consists of a length, a checksum and the payload. After a record is
+synced, a mark is written behind it. A mark shows that the record before it may
+have been acknowledged. The mark itself is not synced, so a loss of power may
+lose it; any other end of the process keeps it.
 """
 
 from __future__ import annotations
@@ -28,28 +29,29 @@
 @attrs.frozen
 class _Scan:
     payloads: list[bytes]
-    good_bytes: int
+    valid_bytes: int
 
 
 class Journal:
     """An append-only file of records."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """Opens the file, or makes an empty one.
+        """Opens the file, or creates an empty one.
 
         Args:
             path: The file.
 
         Raises:
             errors.DataFolderError: A record that may have been acknowledged
-                is damaged. To drop it would take back what was promised.
+                is damaged. Dropping it could lose an acknowledged change.
         """
         self._path = path
         scan = _scan(path.read_bytes() if path.exists() else b"", path)
         self.payloads = scan.payloads
         self._file = open(path, "ab")  # noqa: SIM115
-        # A torn record at the end was never synced, so never acknowledged.
-        self._file.truncate(scan.good_bytes)
+        # A torn record at the end was never synced, so it was never
+        # acknowledged.
+        self._file.truncate(scan.valid_bytes)
         os.fsync(self._file.fileno())
         sync_folder(path.parent)
 
@@ -62,7 +64,7 @@
         self._file.flush()
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
-        """Replaces all records at once; a crash leaves the old or the new."""
+        """Replaces all records; a crash leaves all old or all new ones."""
         replacement = self._path.with_suffix(".new")
         with open(replacement, "wb") as file:
             for payload in payloads:
@@ -80,7 +82,7 @@
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Syncs a folder, so that the names in it last."""
+    """Syncs a folder, so that created and renamed files survive a crash."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -98,12 +100,13 @@
     while offset < len(data):
         payload = _read_record(data, offset)
         if payload is None:
-            # Anything synced later leaves a mark somewhere behind.
+            # A mark behind this place shows that a record was synced here or
+            # later.
             if _MARK in data[offset:]:
                 raise errors.DataFolderError(
                     f"{path.name} is damaged at byte {offset}, before the end:"
                     " acknowledged records cannot be read. Remove the data"
-                    " folder to start this voter anew from the others."
+                    " folder: the voter then gets its state from the others."
                 )
             break
         payloads.append(payload)
@@ -115,12 +118,12 @@
     return _Scan(payloads, min(offset, len(data)))
 
 
-def _is_mark_start(rest: bytes) -> bool:
-    return len(rest) < len(_MARK) and _MARK.startswith(rest)
+def _is_mark_start(tail: bytes) -> bool:
+    return len(tail) < len(_MARK) and _MARK.startswith(tail)
 
 
 def _read_record(data: bytes, offset: int) -> bytes | None:
-    """Returns the record at an offset, or None if there is no whole one."""
+    """Returns the record at an offset; None if incomplete or damaged."""
     start = offset + _HEADER.size
     if start > len(data):
         return None
--- a/src/hickorylead/storage/saved_value.py
+++ b/src/hickorylead/storage/saved_value.py
@@ -1,6 +1,7 @@
-"""Something worth remembering that may be lost: the newest of two files.
+"""Best-effort storage of one value, in two files that alternate.
 
-Each save overwrites the older one, so a torn write leaves the other one.
+Each save overwrites the older file, so a torn write leaves the other one
+intact.
 """
 
 from __future__ import annotations
@@ -13,30 +14,30 @@
 if TYPE_CHECKING:
     import pathlib
 
-# Checksum, number of the save, length.
+# Checksum, number of the save, length of the value.
 _HEADER = struct.Struct(">IQI")
 
 
 class SavedValue:
-    """A value in two files of a folder."""
+    """A value that is kept in two files of a folder."""
 
     def __init__(self, folder: pathlib.Path, name: str) -> None:
-        """Opens a memo; its files are made when it is first saved.
+        """Reads the value; its files are created by the first saves.
 
         Args:
             folder: The folder.
             name: First part of the files' names.
         """
         self._paths = [folder / f"{name}.{number}" for number in (0, 1)]
-        found = [_read(path) for path in self._paths]
-        self._number = max((number for number, _ in found), default=0)
-        self.value = max(found)[1] if any(n for n, _ in found) else None
+        saved = [_read(path) for path in self._paths]
+        self._number = max((number for number, _ in saved), default=0)
+        self.value = max(saved)[1] if any(n for n, _ in saved) else None
 
     def save(self, value: bytes) -> None:
         """Replaces the value.
 
         Raises:
-            OSError: The disk did not take it; the former value stays.
+            OSError: The disk cannot be written; the previous value stays.
         """
         number = self._number + 1
         body = _HEADER.pack(zlib.crc32(value), number, len(value)) + value
@@ -48,11 +49,11 @@
 
 
 def _read(path: pathlib.Path) -> tuple[int, bytes]:
-    """Returns number and value of a file; number 0 if it holds none."""
+    """Returns number and value of a file; number 0 if it is invalid."""
     try:
         body = path.read_bytes()
     except OSError:
-        # Not saved yet, or unreadable: there is nothing to remember.
+        # Not saved yet, or unreadable: there is nothing to restore.
         return 0, b""
     if len(body) < _HEADER.size:
         return 0, b""
--- a/src/hickorylead/wire/catalogue.py
+++ b/src/hickorylead/wire/catalogue.py
@@ -1,7 +1,7 @@
-"""All message types that cross the wire or reach the disk, by number.
+"""All message types on the wire and records on disk, by number.
 
-The order of a class's attributes and the order of the tuples below number the
-fields of the schema. Add at the end only, and make the schema anew with
+The fields of the schema are numbered by the order of a class's attributes and
+by the order of the tuples below. Append only, and regenerate the schema with
 `python -m hickorylead.wire.schema`.
 """
 
@@ -17,13 +17,13 @@
 class Variant:
     """A message class, by name.
 
-    A process loads the module only when it meets such a message: all of them
-    take a sixth of the time that a gateway needs to start, and callers wait
-    for it after a loss of power.
+    A process imports the module only when it first encodes or decodes such a
+    message: importing all of them takes a sixth of a gateway's start-up time,
+    and callers wait for the start after a power loss.
 
     Attributes:
         module: Module, below `hickorylead`.
-        name: Name of the class; also tells it apart on the wire.
+        name: Name of the class; also identifies the message on the wire.
     """
 
     module: str
@@ -119,7 +119,7 @@
     Variant(_CHANGES, "ReplaceWhole"),
 )
 
-# Unions within messages, each a struct of its own.
+# Unions within messages; each becomes a struct of the schema.
 UNIONS: tuple[tuple[str, tuple[Variant, ...]], ...] = (
     ("Operation", OPERATIONS),
 )
@@ -130,5 +130,5 @@
 
 
 def is_union(hint: typing.Any) -> bool:
-    """Says whether an annotation is a union of message classes."""
+    """Returns whether an annotation is a union of message classes."""
     return bool(typing.get_args(hint)) and typing.get_origin(hint) is not tuple
--- a/src/hickorylead/wire/codec.py
+++ b/src/hickorylead/wire/codec.py
@@ -1,11 +1,12 @@
-"""Turns messages into packed Cap'n Proto bytes and back.
+"""Encodes messages as packed Cap'n Proto bytes and decodes them.
 
-The reader of the library is lazy: a damaged message may only show when a field
-is read. So a whole message is read here, and any trouble is one error.
+The library decodes lazily: damage may only be found when a field is read. So
+all fields of a message are read here, and any damage is reported as one error.
 
-One that was cut in a later segment may not show at all until the reader is
-freed, and that ends the process. So a checksum is looked at first: the reader
-sees only bytes that an encoder made. (Records have one in the journal.)
+Truncation in a later segment may go unnoticed until the library's reader is
+freed, which then ends the process. So a checksum is verified first, and the
+library sees only bytes that an encoder made. (Records have a checksum in the
+journal.)
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     from hickorylead.consensus import messages as consensus
     from hickorylead.roles import interface
 
-# A packed message may unpack to much more than its size; this bounds it.
+# Limits the unpacked size, which may be much larger than the packed size.
 MAX_TRAVERSED_WORDS = 8 * 1024 * 1024
 _MAX_NESTING = 32
 _CHECKSUM = struct.Struct(">I")
@@ -37,11 +38,11 @@
 
 @attrs.frozen
 class Envelope:
-    """A message with who sent it.
+    """A message with its sender.
 
     Attributes:
         sender: Node name of the sender.
-        address: `ip:port` on which the sender takes messages.
+        address: `ip:port` on which the sender accepts messages.
         message: The message.
     """
 
@@ -67,16 +68,16 @@
 
 
 def decode_envelope(data: bytes) -> result.Result[Envelope, str]:
-    """Returns the envelope in some bytes, or why there is none."""
+    """Returns the decoded envelope, or why the bytes are invalid."""
     checksum, data = data[: _CHECKSUM.size], data[_CHECKSUM.size :]
     if checksum != _CHECKSUM.pack(zlib.crc32(data)):
         return result.Failure("not a message: wrong checksum")
 
-    def read(reader: Any) -> Envelope:
+    def unpack_envelope(reader: Any) -> Envelope:
         unpack = _unpack_root("Message")
         return Envelope(reader.sender, reader.address, unpack(reader.message))
 
-    return _decode(_load_schema().Envelope, data, read)
+    return _decode(_load_schema().Envelope, data, unpack_envelope)
 
 
 def encode_record(record: consensus.Record) -> bytes:
@@ -86,13 +87,13 @@
 
 
 def decode_record(data: bytes) -> result.Result[consensus.Record, str]:
-    """Returns the journal record in some bytes, or why there is none."""
+    """Returns the decoded journal record, or why the bytes are invalid."""
     unpack = _unpack_root("Record")
     return _decode(_load_schema().Record, data, unpack)
 
 
 def _decode(
-    kind: Any, data: bytes, read: Callable[[Any], Any]
+    kind: Any, data: bytes, unpack: Callable[[Any], Any]
 ) -> result.Result[Any, str]:
     try:
         reader = kind.from_bytes_packed(
@@ -100,7 +101,7 @@
             traversal_limit_in_words=MAX_TRAVERSED_WORDS,
             nesting_limit=_MAX_NESTING,
         )
-        return result.Success(read(reader))
+        return result.Success(unpack(reader))
     except (
         capnp.KjException,
         UnicodeDecodeError,
@@ -113,7 +114,7 @@
         return result.Failure(f"not a message: {reason}")
 
 
-# One converter for each type is built once, from the attributes' types.
+# The converters of each class are built once, from its attributes' types.
 
 
 @functools.cache
@@ -140,12 +141,12 @@
 
 def _pack_type(hint: Any) -> Callable[[Any], Any]:
     if hint in _SCALARS:
-        return _keep
+        return _return_unchanged
     if catalogue.is_union(hint):
         return _pack_variant
     if typing.get_origin(hint) is tuple:
         convert = _pack_type(typing.get_args(hint)[0])
-        if convert is _keep:
+        if convert is _return_unchanged:
             return list
         return lambda values: [convert(value) for value in values]
     return _pack_struct(hint)
@@ -185,16 +186,16 @@
 
 def _unpack_type(hint: Any) -> Callable[[Any], Any]:
     if hint in _SCALARS:
-        return _keep
+        return _return_unchanged
     if catalogue.is_union(hint):
         return _unpack_union(schema.find_union(hint)[1])
     if typing.get_origin(hint) is tuple:
         convert = _unpack_type(typing.get_args(hint)[0])
-        if convert is _keep:
+        if convert is _return_unchanged:
             return tuple
         return lambda values: tuple(convert(value) for value in values)
     return _unpack_struct(hint)
 
 
-def _keep(value: Any) -> Any:
+def _return_unchanged(value: Any) -> Any:
     return value
--- a/src/hickorylead/wire/frame.py
+++ b/src/hickorylead/wire/frame.py
@@ -9,7 +9,7 @@
 
 
 class FrameError(ValueError):
-    """What came is no frame; the connection is of no more use."""
+    """The bytes are not a frame; the connection cannot be used any more."""
 
 
 def pack_frame(payload: bytes) -> bytes:
@@ -20,19 +20,19 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into payloads."""
+    """Splits a stream of bytes into payloads."""
 
     def __init__(self) -> None:
-        """Makes a reader at the start of a stream."""
+        """Creates a reader at the start of a stream."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes and returns the payloads that are complete.
+        """Adds received bytes; returns the payloads that are complete.
 
         Raises:
             FrameError: A length is zero or too large. It is checked before
-                the bytes are waited for, so that a damaged length cannot
-                fill the memory.
+                its bytes are buffered, so that a damaged length cannot
+                exhaust the memory.
         """
         self._buffer += data
         payloads: list[bytes] = []
@@ -40,8 +40,8 @@
             (length,) = HEADER.unpack_from(self._buffer)
             if not 0 < length <= MAX_FRAME_BYTES:
                 if payloads:
-                    # Whole frames before it are given first; the next call
-                    # meets the bad length again.
+                    # Complete frames before the invalid length are returned
+                    # first; the next call raises the error.
                     break
                 raise FrameError(f"a frame of {length} bytes is not allowed")
             end = HEADER.size + length
--- a/src/hickorylead/wire/schema.py
+++ b/src/hickorylead/wire/schema.py
@@ -1,6 +1,6 @@
-"""Makes the Cap'n Proto schema from the message classes.
+"""Generates the Cap'n Proto schema from the message classes.
 
-Run as `python -m hickorylead.wire.schema`; the result is committed.
+Run as `python -m hickorylead.wire.schema`; the schema file is committed.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def name_field(attribute: str) -> str:
-    """Returns the schema's name of an attribute."""
+    """Returns the name of an attribute in the schema."""
     first, *rest = attribute.split("_")
     return first + "".join(part.capitalize() for part in rest)
 
@@ -37,7 +37,7 @@
 
 
 def find_union(hint: Any) -> tuple[str, tuple[catalogue.Variant, ...]]:
-    """Returns name and variants of an annotation that is a union."""
+    """Returns the name and variants of a union annotation."""
     names = {cls.__name__ for cls in typing.get_args(hint)}
     for name, variants in catalogue.UNIONS:
         if names == {variant.name for variant in variants}:
@@ -80,7 +80,7 @@
         self._structs: dict[str, list[str]] = {}
 
     def render(self) -> list[str]:
-        """Returns the lines of all structs, in the order of their names."""
+        """Returns the lines of all structs, sorted by name."""
         lines: list[str] = []
         for _, body in sorted(self._structs.items()):
             lines += [*body, ""]
@@ -89,7 +89,7 @@
     def add_union(
         self, name: str, variants: tuple[catalogue.Variant, ...]
     ) -> None:
-        """Adds a struct that is one of several."""
+        """Adds a struct that is a union of several message classes."""
         body = [f"struct {name} {{", "  union {"]
         for number, variant in enumerate(variants):
             cls = variant.load()
--- a/src/hickorylead_standins/__init__.py
+++ b/src/hickorylead_standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for what surrounds the system: engines, services, callers.
+"""Stand-ins for the programs around the system, such as engines and services.
 
-They speak the published interfaces and are apart from the product. Nothing in
+They use the published interfaces and are not part of the product. Nothing in
 `hickorylead` imports them.
 """
--- a/src/hickorylead_standins/announcer.py
+++ b/src/hickorylead_standins/announcer.py
@@ -1,4 +1,4 @@
-"""How stand-ins announce themselves: to one entry, the next if it is silent."""
+"""Announces stand-ins to an entry, and to the next one if that fails."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 async def announce_forever(
     vm: str,
     entries: Sequence[str],
-    make: Callable[[], dict[str, Any]],
+    make_announcement: Callable[[], dict[str, Any]],
     session: aiohttp.ClientSession,
 ) -> None:
-    """Announces a server once a period until cancelled.
+    """Announces a server periodically until cancelled.
 
     Args:
-        vm: Name of the server, which chooses its entry.
+        vm: Name of the server, which determines its entry.
         entries: URLs of the entries of its zone.
-        make: Returns the announcement as a JSON object.
+        make_announcement: Returns the announcement as a JSON object.
         session: HTTP client.
     """
     ranked = rendezvous.rank_names(vm, entries)
-    place = 0
+    index = 0
     while True:
-        url = f"{ranked[place]}/backend/announcements"
+        url = f"{ranked[index]}/backend/announcements"
         try:
             async with session.post(
                 url,
-                data=orjson.dumps(make()),
+                data=orjson.dumps(make_announcement()),
                 timeout=aiohttp.ClientTimeout(total=TIMEOUT_S),
             ) as response:
-                heard = response.status == 204
+                is_accepted = response.status == 204
         except (aiohttp.ClientError, OSError, TimeoutError):
-            heard = False
-        if heard:
+            is_accepted = False
+        if is_accepted:
             await asyncio.sleep(PERIOD_S)
         else:
-            place = (place + 1) % len(ranked)
+            index = (index + 1) % len(ranked)
             await asyncio.sleep(PERIOD_S / 10)
--- a/src/hickorylead_standins/batch.py
+++ b/src/hickorylead_standins/batch.py
@@ -1,8 +1,8 @@
-"""A model engine that batches continuously, in given time.
+"""A simulated model engine with continuous batching; its caller keeps time.
 
-It has slots, a prefix cache of limited size, and a queue by urgency. Its
-answers depend only on the request, so that any piece of any answer shows
-whose it is and where it belongs.
+It has slots, a prefix cache of limited size, and a queue ordered by urgency.
+Responses depend only on the request, so that each chunk of a response shows
+to which request and position it belongs.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 @attrs.frozen
 class Work:
-    """One request as the engine takes it.
+    """One request as the engine receives it.
 
     Attributes:
-        request_id: Unique.
-        digest: Names the request's content; each token repeats it.
-        urgency: Lower goes first.
-        prompt_tokens: Tokens to read before the first one is made.
-        max_tokens: Tokens of the answer.
+        request_id: Unique id.
+        digest: Digest of the request's body; each token contains it.
+        urgency: Requests with lower values run first.
+        prompt_tokens: Tokens to prefill before the first output token.
+        max_tokens: Output tokens of the response.
         prefixes: Hashes of growing prefixes of the prompt.
-        position: Tokens that an earlier attempt has made.
+        position: Output tokens that an earlier attempt has produced.
     """
 
     request_id: str
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Frame:
-    """One token of an answer."""
+    """One token of a response."""
 
     request_id: str
     position: int
@@ -57,11 +57,11 @@
 
 @attrs.frozen
 class Speed:
-    """How fast an engine is.
+    """Performance parameters of an engine.
 
     Attributes:
-        slots: Requests in a batch.
-        step_s: Seconds of one step, in which each stream gets one token.
+        slots: Maximum number of requests in a batch.
+        step_s: Seconds of one step, which produces one token of each stream.
         prefill_s: Seconds for each prompt token that is not cached.
         cached_prefixes: Prefixes that the cache holds.
     """
@@ -73,28 +73,28 @@
 
 
 def make_token(digest: str, position: int) -> str:
-    """Returns the token at a position of the answer to a request."""
+    """Returns the token at a position of the response to a request."""
     return f"{digest}.{position} "
 
 
 def make_text(digest: str, tokens: int) -> str:
-    """Returns the whole answer to a request."""
+    """Returns the complete response to a request."""
     return "".join(make_token(digest, i) for i in range(tokens))
 
 
 def digest_body(body: bytes) -> str:
-    """Returns the digest of a request's content."""
+    """Returns the digest of a request's body."""
     return hashlib.blake2b(body, digest_size=4).hexdigest()
 
 
 class Batch:
-    """The running batch and the queue of one engine."""
+    """The running batch and the queue of an engine."""
 
     def __init__(self, speed: Speed) -> None:
-        """Makes an idle engine.
+        """Creates an idle engine.
 
         Args:
-            speed: How fast it is.
+            speed: Its performance parameters.
         """
         self.speed = speed
         self.slowness = 1.0
@@ -117,20 +117,20 @@
         return len(self._queue)
 
     def submit(self, work: Work) -> None:
-        """Takes a request."""
+        """Adds a request to the queue."""
         self._sequence += 1
         self._queue.append((work.urgency, self._sequence, work))
         self._queue.sort(key=lambda item: item[:2])
 
     def cancel(self, request_id: str) -> None:
-        """Drops a request."""
+        """Removes a request."""
         self._running.pop(request_id, None)
         self._queue = [
             item for item in self._queue if item[2].request_id != request_id
         ]
 
     def clear(self) -> list[str]:
-        """Drops all requests and returns their ids."""
+        """Removes all requests and returns their ids."""
         dropped = [*self._running, *(i[2].request_id for i in self._queue)]
         self._running.clear()
         self._queue.clear()
@@ -142,7 +142,7 @@
         while self._queue and len(self._running) < self.speed.slots:
             _, _, work = self._queue.pop(0)
             stream = _Stream(work, work.position)
-            stream.cached_tokens = self._read_cache(work)
+            stream.cached_tokens = self._use_cache(work)
             prefill_tokens += work.prompt_tokens - stream.cached_tokens
             self._running[work.request_id] = stream
         if not self._running:
@@ -151,7 +151,7 @@
         return step_s * self.slowness
 
     def end_step(self) -> list[Frame]:
-        """Returns one token of each stream in the batch."""
+        """Produces and returns one token of each stream in the batch."""
         frames = []
         for stream in list(self._running.values()):
             work = stream.work
@@ -171,13 +171,13 @@
                 del self._running[work.request_id]
         return frames
 
-    def _read_cache(self, work: Work) -> int:
+    def _use_cache(self, work: Work) -> int:
         """Returns the prompt tokens found in the cache, and fills it."""
         cached = 0
-        for place, prefix in enumerate(work.prefixes, start=1):
+        for count, prefix in enumerate(work.prefixes, start=1):
             if prefix in self._cache:
                 self._cache.move_to_end(prefix)
-                cached = work.prompt_tokens * place // (len(work.prefixes) + 1)
+                cached = work.prompt_tokens * count // (len(work.prefixes) + 1)
                 continue
             self._cache[prefix] = None
             self.events.append((prefix, True))
--- a/src/hickorylead_standins/engines.py
+++ b/src/hickorylead_standins/engines.py
@@ -30,12 +30,12 @@
         weights_url: str,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Makes an idle VM.
+        """Creates an idle VM.
 
         Args:
-            state: Its name, place and address.
+            state: Its initial announced state, with name, zone and address.
             checks_fence: Whether it refuses old fencing numbers.
-            speed: How fast the engine is.
+            speed: Performance parameters of the engine.
             weights_url: URL of the weight store; empty to load at once.
             session: HTTP client.
         """
@@ -58,7 +58,7 @@
                 web.post("/v1/run", self.run),
                 web.post("/v1/attach", self.attach),
                 web.post("/v1/cancel", self.cancel),
-                web.post("/v1/orders", self.take_order),
+                web.post("/v1/orders", self.handle_order),
                 web.get("/debug/runs", self.list_runs),
                 web.post("/debug/leave", self.leave),
                 web.post("/debug/slow/{factor}", self.slow_down),
@@ -67,7 +67,7 @@
         return app
 
     def make_announcement(self) -> dict[str, Any]:
-        """Returns the announcement of this moment."""
+        """Returns an announcement, with the cache events since the last one."""
         events, self.batch.events = self.batch.events, []
         first = self._event_count
         self._event_count += len(events)
@@ -98,7 +98,7 @@
                 if queue is not None:
                     queue.put_nowait(frame)
 
-    async def take_order(self, request: web.Request) -> web.Response:
+    async def handle_order(self, request: web.Request) -> web.Response:
         """Handles POST /v1/orders."""
         found = orjson.loads(await request.read())
         kind: Any = {"assign": orders.Assign, "release": orders.Release}[
@@ -106,7 +106,7 @@
         ]
         order: orders.Order = cattrs.structure(found, kind)
         before = self.member.state
-        refusal = self.member.take_order(order)
+        refusal = self.member.apply_order(order)
         if refusal:
             return web.json_response({"reason": refusal}, status=409)
         after = self.member.state
@@ -114,7 +114,7 @@
             after.group,
             after.generation,
         ):
-            self._break_streams()
+            self._abort_streams()
         if after.phase == announcements.PHASE_LOADING:
             if self._loading is not None:
                 self._loading.cancel()
@@ -159,7 +159,7 @@
         return await self._send_frames(request, request_id, [])
 
     async def attach(self, request: web.Request) -> web.StreamResponse:
-        """Handles POST /v1/attach: joins a stream that runs here."""
+        """Handles POST /v1/attach: continues a stream that runs here."""
         found = orjson.loads(await request.read())
         request_id = found["request_id"]
         sent = self._sent.get(request_id, [])
@@ -176,7 +176,7 @@
         return web.json_response({})
 
     async def list_runs(self, _: web.Request) -> web.Response:
-        """Handles GET /debug/runs: the server's own record."""
+        """Handles GET /debug/runs: the server's own list of runs."""
         return web.json_response(self.runs)
 
     async def leave(self, _: web.Request) -> web.Response:
@@ -224,8 +224,8 @@
                     await response.write(_render_keepalive(request_id))
                     continue
                 if frame is None:
-                    # The group changed under the stream: the connection is
-                    # closed without an end.
+                    # The group changed during the stream: the connection is
+                    # closed without completing the response.
                     if request.transport is not None:
                         request.transport.close()
                     return response
@@ -237,7 +237,7 @@
             if self._queues.get(request_id) is queue:
                 del self._queues[request_id]
 
-    def _break_streams(self) -> None:
+    def _abort_streams(self) -> None:
         for request_id in self.batch.clear():
             self._sent.pop(request_id, None)
             queue = self._queues.get(request_id)
--- a/src/hickorylead_standins/member.py
+++ b/src/hickorylead_standins/member.py
@@ -1,4 +1,4 @@
-"""A backend server's part in replica groups, in given time."""
+"""A backend server's membership in replica groups."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Member:
-    """What one VM was ordered to be, and what it says it is."""
+    """The group membership of one VM, as ordered and as announced."""
 
     def __init__(
         self, state: announcements.ServerState, *, checks_fence: bool
     ) -> None:
-        """Makes a server that belongs to no group.
+        """Creates a server that belongs to no group.
 
         Args:
-            state: Its name, place and address.
-            checks_fence: Whether it refuses orders with an old number.
+            state: Its initial announced state, with name, zone and address.
+            checks_fence: Whether it refuses orders with an old fencing number.
         """
         self.state = attrs.evolve(state, checks_fence=checks_fence)
         self._checks_fence = checks_fence
 
-    def take_order(self, order: orders.Order) -> str:
-        """Carries an order out; returns why not, or an empty text.
+    def apply_order(self, order: orders.Order) -> str:
+        """Applies an order; returns why it is refused, or an empty string.
 
-        Members that start to load are in phase `loading` afterwards; whoever
-        runs them calls `finish_load`.
+        A member that starts to load is in phase `loading` afterwards; the
+        caller then has to call `finish_load` when the load is done.
         """
         state = self.state
         if self._checks_fence and order.fence < state.fence:
@@ -57,7 +57,7 @@
                     return "member_of_another_group"
                 if state.group == group and generation < state.generation:
                     return "old_generation"
-                holds = state.weights == order.weights and (
+                is_loaded = state.weights == order.weights and (
                     state.phase != announcements.PHASE_LOADING
                 )
                 self.state = attrs.evolve(
@@ -65,7 +65,7 @@
                     fence=fence,
                     phase=(
                         announcements.PHASE_READY
-                        if holds
+                        if is_loaded
                         else announcements.PHASE_LOADING
                     ),
                     group=group,
@@ -85,5 +85,5 @@
             )
 
     def leave(self) -> None:
-        """Marks the server as leaving: it takes no new work."""
+        """Marks the server as leaving: it accepts no new work."""
         self.state = attrs.evolve(self.state, phase=announcements.PHASE_LEAVING)
--- a/src/hickorylead_standins/plain.py
+++ b/src/hickorylead_standins/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service: it counts its runs and echoes the call."""
+"""A stand-in plain service: it counts its runs and echoes each call."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class PlainService:
-    """One plain service on one VM."""
+    """A plain service on a VM."""
 
     def __init__(self, state: announcements.ServerState) -> None:
-        """Makes a service.
+        """Creates a service.
 
         Args:
-            state: Its name, place and address.
+            state: Its announced state, with name, zone and address.
         """
         self.state = state
         self.runs: list[dict[str, str]] = []
@@ -60,7 +60,7 @@
         )
 
     async def list_runs(self, _: web.Request) -> web.Response:
-        """Handles GET /debug/runs: the server's own record."""
+        """Handles GET /debug/runs: the server's own list of runs."""
         return web.json_response(self.runs)
 
     async def set_delay(self, request: web.Request) -> web.Response:
--- a/src/hickorylead_standins/platform.py
+++ b/src/hickorylead_standins/platform.py
@@ -1,8 +1,9 @@
 """A stand-in for a backend server of the users' platform, on real sockets.
 
-It speaks the platform's published calls: it tells of itself to a control node,
-takes orders, and answers requests in a way that the test sets. It checks what
-a real one checks: its own id, and that a group is led by its head.
+It uses the platform's published calls: it sends heartbeats to a control node,
+accepts orders, and responds to requests as the test specifies. Like a real
+server, it refuses a request that names another server's id, and every request
+while it is a member of a group without being its head.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.whole: list[Received] = []
+        self.completed: list[Received] = []
         self._target = b""
         self._headers: dict[str, str] = {}
         self._body = b""
@@ -51,7 +52,7 @@
         self._body += data
 
     def on_message_complete(self) -> None:
-        self.whole.append(
+        self.completed.append(
             Received(
                 self.parser.get_method().decode(),
                 self._target.decode(),
@@ -63,16 +64,19 @@
 
 @attrs.define
 class Manner:
-    """How the server answers requests.
+    """How the server responds to requests.
 
     Attributes:
-        events: Events of a stream that it makes; 0 for a plain answer.
-        cut_after: Event in whose middle it resets the connection; 0 if none.
-        sheds: Whether it says that it did not run them.
-        extra: Bytes that it sends after each whole answer.
-        limit_per_s: Requests a second that it says it takes; None if unsaid.
-        retry_after_s: Pause that it asks for when it sheds; None if unsaid.
-        is_leaving: Whether it says with all answers that it leaves.
+        events: Number of events of a streaming response; 0 for a plain one.
+        cut_after: Event in the middle of which it resets the connection; 0 if
+            none.
+        sheds: Whether it refuses requests as not executed.
+        extra: Bytes that it sends after each complete response.
+        limit_per_s: Rate limit that it reports, in requests a second; None if
+            it reports none.
+        retry_after_s: Pause that it requests when it sheds; None if it
+            requests none.
+        is_leaving: Whether all its responses say that it is leaving.
     """
 
     events: int = 0
@@ -85,7 +89,7 @@
 
 
 class PlatformServer:
-    """One backend server."""
+    """A backend server."""
 
     def __init__(
         self,
@@ -97,10 +101,10 @@
         controls: list[str],
         domain: str = "",
     ) -> None:
-        """Makes a server; `start` opens its port.
+        """Creates a server; `start` opens its port.
 
         Args:
-            name: Id of its life.
+            name: Id of its incarnation.
             service: Service that it belongs to.
             address: `ip:port`.
             zone: Its zone.
@@ -116,8 +120,8 @@
         self._zone = zone
         self._controls = controls
         self._domain = domain
-        self._beats = 0
-        self._orders = 0
+        self._heartbeat_count = 0
+        self._order_count = 0
         self._group: dict[str, Any] = {}
         self._model = ""
         self._staged: list[str] = []
@@ -126,13 +130,13 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Opens the port and begins to tell of itself."""
+        """Opens the port and starts to send heartbeats."""
         ip, _, port = self._address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, ip, int(port))
-        self._spawn(self._beat())
+        self._spawn(self._send_heartbeats())
 
     def stop(self) -> None:
-        """Ends without a word."""
+        """Stops without deregistering."""
         assert self._server is not None
         self._server.close()
         for task in self._tasks:
@@ -143,14 +147,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await self.send_heartbeat()
             await asyncio.sleep(0.2)
 
     async def send_heartbeat(self) -> int:
-        """Tells of itself; returns the status of the answer."""
-        self._beats += 1
+        """Sends a heartbeat; returns the status of the response."""
+        self._heartbeat_count += 1
         body: dict[str, Any] = {
             "Service": self._service,
             "Address": self._address,
@@ -159,7 +163,7 @@
             "Slots": 6,
             "State": self.state,
             "ColdLeftMs": 0,
-            "Sequence": self._beats,
+            "Sequence": self._heartbeat_count,
         }
         if self._domain:
             body["Domain"] = self._domain
@@ -169,7 +173,7 @@
         return await self._call("heartbeat", body)
 
     async def deregister(self) -> int:
-        """Says that it leaves for good; returns the status of the answer."""
+        """Deregisters the server; returns the status of the response."""
         return await self._call("deregister", {})
 
     async def _call(self, verb: str, body: dict[str, Any]) -> int:
@@ -189,43 +193,50 @@
         try:
             while data := await reader.read(65536):
                 requests.parser.feed_data(data)
-                while requests.whole:
-                    await self._answer(requests.whole.pop(0), writer)
+                while requests.completed:
+                    await self._respond(requests.completed.pop(0), writer)
         except (OSError, asyncio.CancelledError):
-            # The caller closed the connection, or the test ends.
+            # The caller closed the connection, or the test has ended.
             pass
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def _answer(
+    async def _respond(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        said = {"Server-Leaving": "1"} if self.manner.is_leaving else {}
+        extra_headers = (
+            {"Server-Leaving": "1"} if self.manner.is_leaving else {}
+        )
         if request.target == "/order":
-            status = self._take_order(orjson.loads(request.body))
-            write_response(writer, status, b"", **said)
+            status = self._handle_order(orjson.loads(request.body))
+            write_response(writer, status, b"", **extra_headers)
             return
         if request.target == "/report":
-            report = {"Sequence": self._orders, "group": self._group}
-            write_response(writer, 200, orjson.dumps(report), **said)
+            report = {"Sequence": self._order_count, "group": self._group}
+            write_response(writer, 200, orjson.dumps(report), **extra_headers)
             return
         self.received.append(request)
         expected = request.headers.get("expect-instance", self.name)
         is_member = bool(self._group.get("rank"))
         if expected != self.name or is_member:
-            write_response(writer, 421, b"", **said)
+            write_response(writer, 421, b"", **extra_headers)
         elif self.manner.sheds:
             if self.manner.retry_after_s is not None:
-                said["Retry-After"] = str(self.manner.retry_after_s)
-            write_response(writer, 503, b"", **{"Not-Executed": "1"}, **said)
+                extra_headers["Retry-After"] = str(self.manner.retry_after_s)
+            write_response(
+                writer, 503, b"", **{"Not-Executed": "1"}, **extra_headers
+            )
         elif self.manner.events:
             await self._stream(request, writer)
         else:
-            echo = request.headers.get("attempt-id", "")
+            attempt_id = request.headers.get("attempt-id", "")
             body = f"{self.name} got {request.body.decode()}".encode()
-            headers = {"Attempt-Id": echo, "Server-Seal": f"seal.{self.name}"}
-            headers |= said
+            headers = {
+                "Attempt-Id": attempt_id,
+                "Server-Seal": f"seal.{self.name}",
+            }
+            headers |= extra_headers
             if self.manner.limit_per_s is not None:
                 headers["Server-Limit"] = str(self.manner.limit_per_s)
             write_response(writer, 200, body, **headers)
@@ -234,11 +245,11 @@
     async def _stream(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        echo = request.headers.get("attempt-id", "")
+        attempt_id = request.headers.get("attempt-id", "")
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             b"Transfer-Encoding: chunked\r\n"
-            + f"Attempt-Id: {echo}\r\n".encode()
+            + f"Attempt-Id: {attempt_id}\r\n".encode()
             + f"Server-Seal: seal.{self.name}\r\n".encode()
             + (b"Server-Leaving: 1\r\n" if self.manner.is_leaving else b"")
             + b"\r\n"
@@ -256,17 +267,17 @@
             await asyncio.sleep(0.005)
         writer.write(b"0\r\n\r\n")
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _handle_order(self, order: dict[str, Any]) -> int:
         expected = order.get("Expected")
-        if expected is not None and expected != self._orders:
+        if expected is not None and expected != self._order_count:
             return 409
         operation = order["Operation"]
         if operation == "Stage":
-            self._orders += 1
+            self._order_count += 1
             self._staged = [order["Model"]]
             return 202
         if operation == "join":
-            self._orders += 1
+            self._order_count += 1
             self._model = order["Model"]
             self._staged = [self._model]
             self._group = {
@@ -275,23 +286,23 @@
                 "rank": order["Members"].index(self.name),
                 "State": "joining",
             }
-            self._spawn(self._turn("ready", JOIN_S))
+            self._spawn(self._change_state("ready", JOIN_S))
             return 202
         if (order["group"], order["epoch"]) != (
             self._group.get("Name"),
             self._group.get("epoch"),
         ):
             return 409
-        self._orders += 1
+        self._order_count += 1
         if operation == "leave":
             self._group, self._model = {}, ""
-            self._spawn(self._turn("", 0.0))
+            self._spawn(self._change_state("", 0.0))
             return 200
         state = "open" if operation == "open" else "ready"
-        self._spawn(self._turn(state, FORM_S))
+        self._spawn(self._change_state(state, FORM_S))
         return 202
 
-    async def _turn(self, state: str, delay_s: float) -> None:
+    async def _change_state(self, state: str, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
         if state and self._group:
             self._group["State"] = state
@@ -301,7 +312,7 @@
 def write_response(
     writer: asyncio.StreamWriter, status: int, body: bytes, **headers: str
 ) -> None:
-    """Writes a whole answer."""
+    """Writes a complete response."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     lines.append("Keep-Alive: timeout=5")
@@ -309,7 +320,7 @@
 
 
 async def send_raw(address: str, data: bytes, source_ip: str = "") -> bytes:
-    """Sends bytes to an address and returns all that comes until it closes."""
+    """Sends bytes to an address; returns all bytes received until it closes."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(
         ip, int(port), local_addr=(source_ip, 0) if source_ip else None
@@ -324,7 +335,7 @@
 async def post_json(
     address: str, path: str, body: Any, source_ip: str = ""
 ) -> int:
-    """Posts a JSON body; returns the status, 0 without an answer."""
+    """Posts a JSON body; returns the status, or 0 without a response."""
     content = body if isinstance(body, bytes) else orjson.dumps(body)
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n"
@@ -332,8 +343,8 @@
         "\r\n\r\n"
     )
     try:
-        answer = await send_raw(address, head.encode() + content, source_ip)
+        response = await send_raw(address, head.encode() + content, source_ip)
     except OSError:
-        # Not listening: the caller goes on to the next address.
+        # Nothing listens there: the caller tries the next address.
         return 0
-    return int(answer.split(b" ", 2)[1]) if answer else 0
+    return int(response.split(b" ", 2)[1]) if response else 0
--- a/src/hickorylead_standins/weights.py
+++ b/src/hickorylead_standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in weight store: it serves a limited number of loads a second."""
+"""A stand-in weight store that serves a limited number of loads a second."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class WeightStore:
-    """Counts loads, and turns away what exceeds its rate."""
+    """Counts loads and refuses those that exceed its rate."""
 
     def __init__(self, *, loads_per_s: float, burst: int) -> None:
-        """Makes a store.
+        """Creates a store.
 
         Args:
             loads_per_s: Loads allowed for each second.
@@ -19,18 +19,18 @@
         """
         self._rate = loads_per_s
         self._burst = burst
-        self._saved = float(burst)
-        self._at = 0.0
+        self._balance = float(burst)
+        self._updated_at = 0.0
         self.served = 0
 
     def try_load(self, now: float) -> bool:
-        """Says whether a load may be served at this time."""
-        elapsed_s = now - self._at
-        self._at = now
-        self._saved = min(self._burst, self._saved + elapsed_s * self._rate)
-        if self._saved < 1:
+        """Returns whether a load may be served now, and counts it if so."""
+        elapsed_s = now - self._updated_at
+        self._updated_at = now
+        self._balance = min(self._burst, self._balance + elapsed_s * self._rate)
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         self.served += 1
         return True
 
--- a/tests/platform/connections.feature
+++ b/tests/platform/connections.feature
@@ -1,33 +1,33 @@
 Feature: Connections to replicas
 
-  Scenario Outline: An answer is whole only if its end says so
-    Given a replica that answers with <answer>
-    When it is asked
-    Then the exchange ends with <end>
+  Scenario Outline: A response is complete only if it ends as framed
+    Given a replica that responds with <response>
+    When a request is sent to the replica
+    Then the result is <result>
 
     Examples:
-      | answer                          | end     |
-      | a length                        | whole   |
-      | chunks                          | whole   |
-      | chunks without an end           | failure |
-      | too few bytes                   | failure |
-      | no length and a close           | whole   |
-      | no length and a reset           | failure |
-      | bytes that are no answer        | failure |
+      | response                        | result   |
+      | a length                        | complete |
+      | chunks                          | complete |
+      | chunks without an end           | failure  |
+      | too few bytes                   | failure  |
+      | no length and a close           | complete |
+      | no length and a reset           | failure  |
+      | bytes that are not HTTP         | failure  |
 
-  Scenario: Bytes after an answer reach no other request
-    A faulty replica sends a second answer behind the first one. The next
-    request on that connection would take it for its own.
-    Given a replica that answers with a length and a second answer
-    When it is asked twice
+  Scenario: Bytes after a response are not taken for another response
+    A faulty replica sends a second response behind the first one. On the same
+    connection the next request would receive it.
+    Given a replica that responds with a length and a second response
+    When two requests are sent to the replica
     Then the second request goes over a new connection
 
-  Scenario: A connection is kept no longer than its replica does
+  Scenario: A connection is not reused after the replica's keep-alive time
     Given a replica that keeps connections for 1 second
-    When it is asked twice with 0.7 seconds in between
+    When two requests are sent to the replica 0.7 seconds apart
     Then the second request goes over a new connection
 
-  Scenario: A replica that is not there has not run the request
-    Given no replica listens
-    When it is asked
-    Then the exchange ends with not_run
+  Scenario: A request that could not connect has not run
+    Given a replica that does not listen
+    When a request is sent to the replica
+    Then the result is not_run
--- a/tests/platform/faults.feature
+++ b/tests/platform/faults.feature
@@ -1,55 +1,55 @@
 Feature: Faults of single processes on the platform, on real sockets
 
-  Scenario: A coordinator whose disk is full goes on without voting
-    The disk of one coordinator refuses every write. If it went on voting it
-    could acknowledge what a restart takes back; if it ended, its backend
-    servers would lose it as well. It stops voting, the others acknowledge a
-    change, and when the disk takes writes again it has that change, too.
-    Then a coordinator with a full disk stops voting and comes back
-
-  Scenario: A gateway that is stopped cuts nothing
-    SIGTERM comes while a stream runs, and callers go on coming until the
-    balancer has noticed. The stream ends whole, a newcomer is answered, and
-    the readiness check says at once that no more should come.
-    Then a gateway that is stopped in a stream ends it whole
-
-  Scenario: A request that comes before the first configuration waits for it
-    All nodes have lost power and start again. A gateway answers a second before
-    it has a configuration. Most callers come with their last try by then: told
-    to come back they would be lost.
-    Then a request to a gateway that has no configuration yet is answered by it
-    And one whose time is short is told when to come back
-
-  Scenario: A reader of the log that stops does not stop the process
+  Scenario: A coordinator with a full disk keeps running without voting
+    The disk of one coordinator refuses every write. If it continued to vote, it
+    could acknowledge changes that a restart loses; if it ended, its backend
+    servers would lose it as well. It stops voting, and the other coordinators
+    acknowledge a change, which it receives once the disk is writable again.
+    Then a coordinator with a full disk stops voting and recovers
+
+  Scenario: Stopping a gateway aborts no request
+    SIGTERM arrives during a stream, and new requests arrive until the load
+    balancer has noticed. The stream completes, a new request is served, and
+    the readiness check fails at once.
+    Then a stopped gateway completes its stream and serves a new request
+
+  Scenario: A request that arrives before the first configuration waits for it
+    All nodes restart after a power loss. A gateway accepts requests a second
+    before it has a configuration. Most callers are on their last attempt by
+    that time, so their requests would be lost if they were refused.
+    Then a request to a gateway without a configuration waits and is served
+    And a request with little time left is refused with a retry time
+
+  Scenario: A log reader that stops reading does not block the process
     Nobody reads standard output. The log fills the pipe, then its own small
-    buffer, then drops lines and says how many; nothing waits for the reader.
+    buffer, then drops lines and reports how many; nothing waits for the reader.
     Then 5000 lines into a pipe that nobody reads are written or counted
 
-  Scenario: A head that comes byte by byte is ended in time
-    A caller opens a connection and sends half a head. It would hold a
-    descriptor for ever.
-    Then half a head is answered with status 408 after the time limit
+  Scenario: A request head that arrives too slowly is ended after a time limit
+    A caller opens a connection and sends half a head. Without a limit it would
+    occupy a descriptor forever.
+    Then half a head gets a response with status 408 after the time limit
 
-  Scenario: Servers that name a limit get no more than that, on real sockets
-    Both servers of a plain service tell that they take a request each ten
+  Scenario: Servers that report a rate limit get no more requests, on real sockets
+    Both servers of a plain service report a limit of one request in ten
     seconds. A gateway and the coordinators are real: the first call to each
-    tells the limit, the permits that are there at once serve two more, and all
+    server reports the limit, the initial permits serve two more calls, and all
     others are refused as not run.
-    Then of 10 calls in a row to two servers that name a limit 4 are served
-    And the others are told when to come back
+    Then of 10 calls in a row to two servers that report a limit 4 are served
+    And the others are refused with a retry time
 
-  Scenario: Servers that ask for a pause get no calls in it, on real sockets
-    Then of 10 calls in a row to two servers that ask for a pause each gets 1
-    And the others are told when to come back, as paused
+  Scenario: Servers that request a pause get no calls during it, on real sockets
+    Then of 10 calls in a row to two servers that request a pause each gets 1
+    And the others are refused with a retry time, as paused
 
-  Scenario: A server that says that it leaves gets no calls, on real sockets
-    Its heartbeats go on to say that it is ready.
-    Then of 10 calls in a row to two servers one that leaves gets 1 at most
+  Scenario: A server that reports that it is leaving gets no calls, on real sockets
+    Its heartbeats still report that it is ready.
+    Then of 10 calls in a row to two servers one that is leaving gets 1 at most
 
-  Scenario: A server that says in the answer to an order that it leaves is known
-    Then a server that says so in the answer to an order is taken for draining
+  Scenario: A server that reports in an order's response that it is leaving drains
+    Then a server that reports leaving in the response to an order is draining
 
-  Scenario: The lost runs that a coordinator wrote are known to its next process
-    All coordinators start again. A request that ended three servers would end
-    three more, if the file that one process writes were not what the next reads.
-    Then a content that was blocked before a coordinator starts again still is
+  Scenario: A coordinator restores the lost runs that its previous process saved
+    All coordinators restart. A request that ended three servers would end
+    three more if the new process could not decode the file of the previous one.
+    Then a request that was blocked before a coordinator restarts stays blocked
--- a/tests/platform/formats.feature
+++ b/tests/platform/formats.feature
@@ -1,65 +1,65 @@
 Feature: The platform's formats
 
-  Scenario: All errors of the settings file are told at once
+  Scenario: All errors in the settings file are reported at once
     Given a platform settings file for a gateway with three faults
-    Then it is refused naming "InternalPorts", "Zone" and "Listen.Front"
+    Then it is rejected with an error naming "InternalPorts", "Zone" and "Listen.Front"
 
   Scenario: A process with a faulty settings file ends with exit code 2
     Given a platform settings file for a gateway with three faults
     Then the gateway's process ends with exit code 2 and one line
 
-  Scenario: Fields that are unknown are ignored
+  Scenario: Unknown fields are ignored
     Given a platform settings file with an unknown field
     Then its seeds are the peer addresses of the coordinators
 
-  Scenario Outline: A configuration that cannot be read is refused
+  Scenario Outline: An invalid configuration is rejected
     Given a platform configuration with <change>
-    Then reading it fails with "<reason>"
+    Then decoding it fails with "<reason>"
 
     Examples:
       | change                 | reason                  |
-      | its end cut off        | cannot be read          |
-      | a text as version      | not a whole number      |
+      | its end cut off        | cannot be decoded       |
+      | a string as version    | not an integer          |
       | no routes              | Routes is missing       |
       | an unknown kind        | is missing              |
-      | a route to nowhere     | names the unknown       |
+      | an unknown service     | names the unknown       |
       | a timeout of 0         | the timeout             |
 
-  Scenario Outline: A heartbeat that cannot be read is refused
+  Scenario Outline: An invalid heartbeat is rejected
     Given a platform heartbeat with <change>
-    Then reading the heartbeat fails with "<reason>"
+    Then decoding the heartbeat fails with "<reason>"
 
     Examples:
-      | change           | reason            |
-      | its end cut off  | cannot be read    |
-      | no address       | Address           |
-      | a wrong address  | is not ip:port    |
-      | an unknown state | missing or wrong  |
-      | a list as body   | is not a table    |
-      | a number as zone | is not a text     |
-      | a text as slots  | is not a whole    |
-      | a text as born   | is not a whole    |
-      | a number as list | is not a list     |
-      | a group unknown  | no state of a     |
-      | a group's epoch  | is not a whole    |
-
-  Scenario: What tells a server's life is read wherever it is told
-    Given a server that began at 1784102400123
-    Then its heartbeat, its report and its last call tell that
-    And a last call without a body tells nothing of it
-
-  Scenario: The key is not passed on and the workspace can't be forged
-    A caller sends the header that tells replicas its workspace. Passed on, it
-    would act for another one.
+      | change                 | reason            |
+      | its end cut off        | cannot be decoded |
+      | no address             | Address           |
+      | a malformed address    | is not ip:port    |
+      | an unknown state       | missing or wrong  |
+      | a list as body         | is not an object  |
+      | a number as zone       | is not a string   |
+      | a string as slots      | is not an integer |
+      | a string as born       | is not an integer |
+      | a number as models     | is not a list     |
+      | an unknown group state | not a state of a  |
+      | a string as epoch      | is not an integer |
+
+  Scenario: A server's incarnation is decoded from each of its messages
+    Given a server that started at 1784102400123
+    Then its heartbeat, report and deregistration contain that start time
+    And a deregistration without a body contains no start time
+
+  Scenario: The key is not forwarded and the workspace can't be forged
+    A caller sends the header that names its workspace to replicas. If it were
+    forwarded, the caller could act for another workspace.
     Given a platform request with a forged workspace
-    Then the replica is told workspace "crew" once and no key
+    Then the replica receives workspace "crew" once and no key
 
-  Scenario: What concerns one connection is not passed on
-    Given a platform request with headers of its connection
-    Then the replica gets neither of them
+  Scenario: Headers of a single connection are not forwarded
+    Given a platform request with connection headers
+    Then the replica receives none of them
 
-  Scenario Outline: The limit that a replica names is read
-    Given a replica's answer that names the limit "<text>"
+  Scenario Outline: The rate limit that a replica reports is decoded
+    Given a replica's response that reports the limit "<text>"
     Then its limit is <limit>
 
     Examples:
@@ -72,8 +72,8 @@
       | nan   | none  |
       | inf   | none  |
 
-  Scenario Outline: The pause that a replica asks for is read
-    Given a replica's answer with status <status>, pause "<text>" and leaving "0"
+  Scenario Outline: The pause that a replica requests is decoded
+    Given a replica's response with status <status>, pause "<text>" and leaving "0"
     Then its pause is <pause>
 
     Examples:
@@ -87,8 +87,8 @@
       | 503    | nan   | none  |
       | 200    | 3     | none  |
 
-  Scenario Outline: A replica that is leaving is recognized in any answer
-    Given a replica's answer with status <status>, pause "1" and leaving "<text>"
+  Scenario Outline: A leaving replica is recognized in any response
+    Given a replica's response with status <status>, pause "1" and leaving "<text>"
     Then it is <state>
 
     Examples:
@@ -98,9 +98,9 @@
       | 500    | 1    | leaving     |
       | 200    | 0    | not leaving |
 
-  Scenario Outline: The server at fault is read from a 503 only
+  Scenario Outline: The server at fault is decoded from a 503 only
     A 421 names the server that has the address now, which is not at fault.
-    Given a replica's answer with status <status> that names "i-1" as at fault
+    Given a replica's response with status <status> that names "i-1" as at fault
     Then the server at fault is "<name>"
 
     Examples:
@@ -109,6 +109,6 @@
       | 421    |      |
       | 200    |      |
 
-  Scenario: A header that can't be read is named in the log
-    Given a replica's answer with status 503, pause "soon" and leaving "0"
-    Then it names the unreadable header "retry-after"
+  Scenario: A malformed header is named in the log
+    Given a replica's response with status 503, pause "soon" and leaving "0"
+    Then it names the malformed header "retry-after"
--- a/tests/platform/sessions.feature
+++ b/tests/platform/sessions.feature
@@ -1,10 +1,10 @@
-Feature: Sessions on the platform, on real sockets
+Feature: Recorded sessions of the platform, on real sockets
 
-  Scenario Outline: A session is as it was recorded
-    Three coordinators with disks, a gateway, and backend servers that speak
-    the platform's calls; the record holds what caller, servers and operator
-    sent and saw.
-    Then the platform session "<name>" is as recorded
+  Scenario Outline: A session gives the recorded lines
+    Three coordinators with disks, a gateway, and stand-in backend servers run.
+    The golden file holds what the caller, servers and operator sent and
+    received.
+    Then the platform session "<name>" gives its recorded lines
 
     Examples:
       | name                 |
--- a/tests/soak/engines.py
+++ b/tests/soak/engines.py
@@ -80,7 +80,7 @@
         self._server = await asyncio.start_server(
             self._serve, self.bind_ip, PORT
         )
-        self._spawn(self._beat())
+        self._spawn(self._send_heartbeats())
         self._spawn(self._turn_over())
 
     def crash(self) -> None:
@@ -99,7 +99,7 @@
         await self.deregister()
         self.crash()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await self.send_heartbeat()
             await asyncio.sleep(BEAT_S)
@@ -118,7 +118,7 @@
 
     async def send_heartbeat(self) -> int:
         """Tells of itself; returns the status of the answer."""
-        self._beats += 1
+        self._heartbeat_count += 1
         body = {
             "Service": self._service,
             "Address": self._address,
@@ -127,7 +127,7 @@
             "Slots": 6,
             "State": self.state,
             "ColdLeftMs": 0,
-            "Sequence": self._beats,
+            "Sequence": self._heartbeat_count,
         }
         if self.domain:
             told = self.model.make_heartbeat()
@@ -162,20 +162,20 @@
 
     # Orders.
 
-    def _take_order(self, order) -> int:
+    def _handle_order(self, order) -> int:
         now = time.monotonic()
         found = _read_order(order)
         if isinstance(found, orders.Join):
             self._check_two(found)
         status = self.model.apply_order(found, order.get("Expected"), now)
-        self._orders = self.model.accepted
+        self._order_count = self.model.accepted
         if status < 300:
             self._spawn(self.send_heartbeat())
         return status
 
     async def _take_late(self, order) -> None:
         await asyncio.sleep(self._trouble.rng.uniform(*LATE_S))
-        self._take_order(order)
+        self._handle_order(order)
 
     def _check_two(self, join: orders.Join) -> None:
         """Checks that a server in a group that serves takes no other one."""
@@ -197,7 +197,7 @@
 
     # Requests.
 
-    async def _answer(self, request, writer) -> None:
+    async def _respond(self, request, writer) -> None:
         if request.target == "/order" and self._trouble.is_late():
             order = orjson.loads(request.body)
             self._spawn(self._take_late(order))
@@ -205,7 +205,7 @@
             await asyncio.sleep(LATE_S[1])
             return
         if request.target in ("/order", "/report"):
-            await super()._answer(request, writer)
+            await super()._respond(request, writer)
             return
         headers = request.headers
         attempt = headers.get("attempt-id", "")
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -199,5 +199,5 @@
 @then("it refuses that order")
 def _(context):
     before = context.server.state
-    assert context.server.member.take_order(context.old_order) == "old_fence"
+    assert context.server.member.apply_order(context.old_order) == "old_fence"
     assert context.server.state == before
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps about single processes of the platform that are in trouble."""
+"""Steps about faults of single processes of the platform."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 READINESS = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-async def fill_disk(day):
-    """Fills one coordinator's disk, changes, and empties it again."""
-    shell = day.coordinators[0]
-    opened = shell._open_folder
+async def fill_disk(cluster):
+    """Fills a coordinator's disk, changes the configuration, frees the disk."""
+    process = cluster.coordinators[0]
+    open_folder = process._open_folder
 
     def refuse(*_):
         raise OSError(errno.ENOSPC, "No space left on device")
 
-    shell._folder.persist = refuse
-    shell._open_folder = refuse
+    process._folder.persist = refuse
+    process._open_folder = refuse
     body = orjson.dumps(platform_cluster.make_configuration(8))
     async with asyncio.timeout(10):
-        # A call that is not decided ends by itself after 0.9 s.
-        while await day.replace_configuration(body, 1) != 200:
+        # A call that is not decided times out after 0.9 s.
+        while await cluster.replace_configuration(body, 1) != 200:
             pass
-    await day.wait_for(lambda: shell._disk_failed_at is not None)
-    # It still hears backend servers, and says nothing that it can't know.
-    server = day.servers[0]
+    await cluster.wait_for(lambda: process._disk_failed_at is not None)
+    # It still receives heartbeats, and refuses to return a configuration that
+    # may not be the newest.
+    server = cluster.servers[0]
     status = await platform.post_json(
-        day.controls[0],
+        cluster.controls[0],
         f"/instances/{server.name}/heartbeat",
         {
             "Service": "models",
@@ -53,97 +54,100 @@
         },
     )
     assert status == 200, status
-    answer = await platform.send_raw(
-        day.controls[0],
+    response = await platform.send_raw(
+        cluster.controls[0],
         b"GET /config/read HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
     )
-    assert answer.startswith(b"HTTP/1.1 503"), answer[:40]
-    shell._open_folder = opened
-    await day.wait_for(lambda: shell._disk_failed_at is None)
-    await day.wait_for(
-        lambda: shell.role.voter.configuration.outside_version == 8
+    assert response.startswith(b"HTTP/1.1 503"), response[:40]
+    process._open_folder = open_folder
+    await cluster.wait_for(lambda: process._disk_failed_at is None)
+    await cluster.wait_for(
+        lambda: process.role.voter.configuration.outside_version == 8
     )
 
 
-@then("a coordinator with a full disk stops voting and comes back")
+@then("a coordinator with a full disk stops voting and recovers")
 def _(context):
     asyncio.run(platform_cluster.run_session(fill_disk))
 
 
-def take_configuration(shell):
-    """Takes a gateway's configuration away; returns it.
+def remove_configuration(process):
+    """Removes a gateway's configuration; returns its routes.
 
-    Its home would send it again within a quarter of a second, which a machine
-    with other work to do may need for the call itself.
+    The gateway also ignores later updates: its home coordinator would send the
+    configuration again within a quarter of a second, and on a busy machine the
+    call itself may take that long.
     """
-    routes, shell.role.routes = shell.role.routes, None
-    shell.role._apply_document = lambda _: []
-    shell._configured.clear()
+    routes, process.role.routes = process.role.routes, None
+    process.role._apply_document = lambda _: []
+    process._configured.clear()
     return routes
 
 
-async def call_early(day):
-    """Calls a gateway that has lost its configuration, and gives it back."""
-    shell = day.gateway
-    routes = take_configuration(shell)
-    early = asyncio.ensure_future(day.send_request("/alerts/1", b"tree"))
-    await day.wait_for(lambda: shell.waiting_for_configuration == 1)
-    assert not early.done()
-    shell.role.routes = routes
-    shell._configured.set()
-    answer = await early
-    assert answer.startswith(b"HTTP/1.1 200"), answer[:60]
-
-
-async def call_early_in_haste(day):
-    """Calls a gateway without a configuration with little time left."""
-    take_configuration(day.gateway)
-    answer = await day.send_request("/alerts/1", b"tree", Time_Budget="60")
-    assert answer.startswith(b"HTTP/1.1 503"), answer[:60]
-    assert b"retry-after: " in answer, answer
+async def call_before_configuration(cluster):
+    """Calls a gateway that has no configuration, then restores it."""
+    process = cluster.gateway
+    routes = remove_configuration(process)
+    pending = asyncio.ensure_future(cluster.send_request("/alerts/1", b"tree"))
+    await cluster.wait_for(lambda: process.waiting_for_configuration == 1)
+    assert not pending.done()
+    process.role.routes = routes
+    process._configured.set()
+    response = await pending
+    assert response.startswith(b"HTTP/1.1 200"), response[:60]
+
+
+async def call_with_short_budget(cluster):
+    """Calls a gateway without a configuration, with a short time budget."""
+    remove_configuration(cluster.gateway)
+    response = await cluster.send_request(
+        "/alerts/1", b"tree", Time_Budget="60"
+    )
+    assert response.startswith(b"HTTP/1.1 503"), response[:60]
+    assert b"retry-after: " in response, response
 
 
-@then("a request to a gateway that has no configuration yet is answered by it")
+@then("a request to a gateway without a configuration waits and is served")
 def _(context):
-    asyncio.run(platform_cluster.run_session(call_early))
+    asyncio.run(platform_cluster.run_session(call_before_configuration))
 
 
-@then("one whose time is short is told when to come back")
+@then("a request with little time left is refused with a retry time")
 def _(context):
-    asyncio.run(platform_cluster.run_session(call_early_in_haste))
+    asyncio.run(platform_cluster.run_session(call_with_short_budget))
 
 
-async def stop_gateway(day):
+async def stop_gateway(cluster):
     """Stops the gateway while a stream runs."""
-    for server in day.servers:
+    for server in cluster.servers:
         server.manner.events = 80
-    before = day.count_received()
+    before = cluster.count_received()
     stream = asyncio.ensure_future(
-        day.send_request(
+        cluster.send_request(
             "/drafts/x", b"", Model=platform_cluster.MODEL, Token_Count="5,9"
         )
     )
-    await day.wait_for(
-        lambda: any(len(s.received) > before[s.name] for s in day.servers)
+    await cluster.wait_for(
+        lambda: any(len(s.received) > before[s.name] for s in cluster.servers)
     )
-    day.gateway._stop.set()
+    cluster.gateway._stop.set()
     ready_address = f"127.0.7.9:{platform_cluster.READY_PORT}"
 
     async def is_unready():
-        answer = await platform.send_raw(ready_address, READINESS)
-        return answer.startswith(b"HTTP/1.1 503")
+        response = await platform.send_raw(ready_address, READINESS)
+        return response.startswith(b"HTTP/1.1 503")
 
     async with asyncio.timeout(1.0):
         while not await is_unready():
             await asyncio.sleep(0.01)
-    newcomer = await day.send_request("/alerts/1", b"late")
-    assert newcomer.startswith(b"HTTP/1.1 200"), newcomer[:40]
-    answer = await stream
-    assert answer.endswith(b"0\r\n\r\n"), answer[-60:]
-    assert answer.count(b"\nid: ") == 80, answer
+    new_response = await cluster.send_request("/alerts/1", b"late")
+    assert new_response.startswith(b"HTTP/1.1 200"), new_response[:40]
+    response = await stream
+    assert response.endswith(b"0\r\n\r\n"), response[-60:]
+    assert response.count(b"\nid: ") == 80, response
 
 
-@then("a gateway that is stopped in a stream ends it whole")
+@then("a stopped gateway completes its stream and serves a new request")
 def _(context):
     asyncio.run(platform_cluster.run_session(stop_gateway))
 
@@ -163,7 +167,7 @@
         now[0] += 0.001
     os.set_blocking(reader, False)
     data = b""
-    # The reader comes back; the next lines say what was dropped.
+    # The reader reads again; the next lines report how many were dropped.
     for _ in range(200):
         now[0] += 1.1
         log.write(notes.note("later"))
@@ -173,148 +177,154 @@
             break
     os.close(reader)
     os.close(writer)
-    found = [orjson.loads(line) for line in data.splitlines()]
-    written = sum(line["event"] == "tested" for line in found)
+    entries = [orjson.loads(line) for line in data.splitlines()]
+    written = sum(line["event"] == "tested" for line in entries)
     dropped = sum(
-        line["count"] for line in found if line["event"] == "lines_dropped"
+        line["count"] for line in entries if line["event"] == "lines_dropped"
     )
     assert written + dropped == count, (written, dropped)
     assert dropped > 0
 
 
-async def send_half_head(day):
+async def send_half_head(cluster):
     """Sends half a head and waits for the end of the connection."""
-    day.gateway._limits.header_timeout_s = 0.3
-    answer = await asyncio.wait_for(
-        platform.send_raw(day.caller_address, b"POST /alerts/1 HTTP/1.1\r\nHo"),
+    cluster.gateway._limits.header_timeout_s = 0.3
+    response = await asyncio.wait_for(
+        platform.send_raw(
+            cluster.caller_address, b"POST /alerts/1 HTTP/1.1\r\nHo"
+        ),
         5,
     )
-    assert answer.startswith(b"HTTP/1.1 408"), answer
+    assert response.startswith(b"HTTP/1.1 408"), response
 
 
-@then("half a head is answered with status 408 after the time limit")
+@then("half a head gets a response with status 408 after the time limit")
 def _(context):
     asyncio.run(platform_cluster.run_session(send_half_head))
 
 
 @then(
-    "of {count:d} calls in a row to two servers that name a limit {served:d} "
+    "of {count:d} calls in a row to two servers that report a limit {served:d} "
     "are served"
 )
 def _(context, count, served):
-    context.answers = []
+    context.responses = []
 
-    async def call_limited(day):
-        for server in day.servers:
+    async def call_limited(cluster):
+        for server in cluster.servers:
             server.manner.limit_per_s = 0.1
         for number in range(count):
-            answer = await day.send_request(f"/alerts/{number}", b"tree")
-            context.answers.append(answer)
+            response = await cluster.send_request(f"/alerts/{number}", b"tree")
+            context.responses.append(response)
 
     asyncio.run(platform_cluster.run_session(call_limited))
-    found = [a.startswith(b"HTTP/1.1 200") for a in context.answers]
-    assert sum(found) == served, context.answers
+    is_served = [r.startswith(b"HTTP/1.1 200") for r in context.responses]
+    assert sum(is_served) == served, context.responses
 
 
-@then("the others are told when to come back")
+@then("the others are refused with a retry time")
 def _(context):
-    refused = [a for a in context.answers if b"HTTP/1.1 200" not in a[:12]]
-    for answer in refused:
-        assert answer.startswith(b"HTTP/1.1 503"), answer
-        assert b"retry-after: " in answer and b"limited" in answer, answer
+    refused = [r for r in context.responses if b"HTTP/1.1 200" not in r[:12]]
+    for response in refused:
+        assert response.startswith(b"HTTP/1.1 503"), response
+        assert b"retry-after: " in response and b"limited" in response, response
 
 
 @then(
-    "of {count:d} calls in a row to two servers that ask for a pause each "
-    "gets {most:d}"
+    "of {count:d} calls in a row to two servers that request a pause each "
+    "gets {calls:d}"
 )
-def _(context, count, most):
-    context.answers = []
+def _(context, count, calls):
+    context.responses = []
 
-    async def call_pausing(day):
-        for server in day.servers:
+    async def call_pausing(cluster):
+        for server in cluster.servers:
             server.manner.sheds = True
             server.manner.retry_after_s = 30
-        before = day.count_received()
+        before = cluster.count_received()
         for number in range(count):
-            answer = await day.send_request(f"/alerts/{number}", b"tree")
-            context.answers.append(answer)
-        got = {s.name: len(s.received) - before[s.name] for s in day.servers}
-        assert sorted(got.values())[-2:] == [most, most], got
+            response = await cluster.send_request(f"/alerts/{number}", b"tree")
+            context.responses.append(response)
+        received = {
+            s.name: len(s.received) - before[s.name] for s in cluster.servers
+        }
+        assert sorted(received.values())[-2:] == [calls, calls], received
 
     asyncio.run(platform_cluster.run_session(call_pausing))
 
 
-@then("the others are told when to come back, as paused")
+@then("the others are refused with a retry time, as paused")
 def _(context):
-    for answer in context.answers[2:]:
-        assert answer.startswith(b"HTTP/1.1 503"), answer
-        assert b"retry-after: " in answer and b"paused" in answer, answer
+    for response in context.responses[2:]:
+        assert response.startswith(b"HTTP/1.1 503"), response
+        assert b"retry-after: " in response and b"paused" in response, response
 
 
-async def call_leaving(day):
-    """Calls two servers, one of which says that it leaves."""
-    server = next(s for s in day.servers if s._service == "desk")
+async def call_leaving(cluster):
+    """Calls two servers, one of which reports that it is leaving."""
+    server = next(s for s in cluster.servers if s._service == "desk")
     server.manner.is_leaving = True
-    before = day.count_received()[server.name]
+    before = cluster.count_received()[server.name]
     for number in range(10):
-        answer = await day.send_request(f"/alerts/{number}", b"tree")
-        assert answer.startswith(b"HTTP/1.1 200"), answer
+        response = await cluster.send_request(f"/alerts/{number}", b"tree")
+        assert response.startswith(b"HTTP/1.1 200"), response
     assert len(server.received) - before <= 1, server.received
     if len(server.received) > before:
-        await day.wait_for(lambda: is_draining(day, server.name))
+        await cluster.wait_for(lambda: is_draining(cluster, server.name))
 
 
-def is_draining(day, name):
-    """Says whether all coordinators take a server for draining."""
+def is_draining(cluster, name):
+    """Returns whether a server is draining in all coordinators."""
     return all(
-        shell.role.registry.instances[name].phase == instances.PHASE_DRAINING
-        for shell in day.coordinators
+        process.role.registry.instances[name].phase == instances.PHASE_DRAINING
+        for process in cluster.coordinators
     )
 
 
-@then("of 10 calls in a row to two servers one that leaves gets 1 at most")
+@then("of 10 calls in a row to two servers one that is leaving gets 1 at most")
 def _(context):
     asyncio.run(platform_cluster.run_session(call_leaving))
 
 
-@then("a server that says so in the answer to an order is taken for draining")
+@then("a server that reports leaving in the response to an order is draining")
 def _(context):
-    async def order_leaving(day):
-        server = next(s for s in day.servers if s._domain)
+    async def order_leaving(cluster):
+        server = next(s for s in cluster.servers if s._domain)
         server.manner.is_leaving = True
-        shell = day.coordinators[0]
-        # An order that changes nothing: its group has another name.
+        process = cluster.coordinators[0]
+        # The order changes nothing: the server is not in this group.
         order = orders.Leave("no-group", 0)
-        give = orders.SendOrder(server.name, server._address, order)
-        await shell._post(give)
-        await day.wait_for(lambda: is_draining(day, server.name))
+        send_order = orders.SendOrder(server.name, server._address, order)
+        await process._post(send_order)
+        await cluster.wait_for(lambda: is_draining(cluster, server.name))
 
     asyncio.run(platform_cluster.run_session(order_leaving))
 
 
-async def restart_blocking(day):
-    """Has a coordinator block a content, and reads what it wrote."""
-    shell = day.coordinators[0]
+async def restart_blocking_coordinator(cluster):
+    """Blocks a request in a coordinator, then starts its next process."""
+    process = cluster.coordinators[0]
     crashes = tuple(
         crash_messages.Crash(4711, f"s{n}", n + 1, 0, has_ended=True)
         for n in range(3)
     )
-    news = crash_messages.CrashNews("z1/front1/gateway", crashes)
-    shell.role.crashes.merge(news, (), clock.read_boottime())
-    folder = pathlib.Path(shell.settings.data_folder)
-    await day.wait_for(lambda: saved_value.SavedValue(folder, "crashes").value)
-    follower = coordinator.CoordinatorProcess(
-        shell.settings,
-        server_codec=shell._server_codec,
-        read_document=documents.read_packed,
-        make_app=shell._make_app,
-        reload=shell._reload,
-        log=shell._log,
+    update = crash_messages.CrashNews("z1/front1/gateway", crashes)
+    process.role.crashes.merge(update, (), clock.read_boottime())
+    folder = pathlib.Path(process.settings.data_folder)
+    await cluster.wait_for(
+        lambda: saved_value.SavedValue(folder, "crashes").value
+    )
+    restarted = coordinator.CoordinatorProcess(
+        process.settings,
+        header_codec=process._header_codec,
+        read_document=documents.decode_compressed,
+        make_app=process._make_app,
+        reload=process._reload,
+        log=process._log,
     )
-    assert follower.role.crashes.count_blocked() == 1
+    assert restarted.role.crashes.count_blocked() == 1
 
 
-@then("a content that was blocked before a coordinator starts again still is")
+@then("a request that was blocked before a coordinator restarts stays blocked")
 def _(context):
-    asyncio.run(platform_cluster.run_session(restart_blocking))
+    asyncio.run(platform_cluster.run_session(restart_blocking_coordinator))
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -24,21 +24,21 @@
 GOLDEN = pathlib.Path(__file__).resolve().parent.parent / "golden/platform"
 
 
-@then('the platform session "{name}" is as recorded')
+@then('the platform session "{name}" gives its recorded lines')
 def _(context, name):
-    found = asyncio.run(
+    actual = asyncio.run(
         platform_cluster.run_session(platform_cluster.SESSIONS[name])
     )
     file = GOLDEN / f"{name}.txt"
     if context.config.userdata.get("golden") == "write":
-        file.write_text(found, encoding="utf-8")
+        file.write_text(actual, encoding="utf-8")
     expected = file.read_text(encoding="utf-8")
-    assert found == expected, f"{file.name} differs:\n{found}"
+    assert actual == expected, f"{file.name} differs:\n{actual}"
 
 
 # Settings.
 
-GOOD = """\
+VALID_SETTINGS = """\
 NodeName=front-1
 Ip=127.0.0.1
 Zone=z1
@@ -56,20 +56,20 @@
 @given("a platform settings file for a gateway with three faults")
 def _(context):
     context.settings_text = (
-        GOOD.replace("InternalPorts=7340,7355", "InternalPorts=x,y")
+        VALID_SETTINGS.replace("InternalPorts=7340,7355", "InternalPorts=x,y")
         .replace("Zone=z1\n", "")
         .replace("Listen.Front=127.0.0.1:7000", "Listen.Front=127.0.0.1:0")
     )
 
 
-@then('it is refused naming "{first}", "{second}" and "{third}"')
+@then('it is rejected with an error naming "{first}", "{second}" and "{third}"')
 def _(context, first, second, third):
     try:
         settings.parse_settings(context.settings_text, role="gateway")
     except errors.SettingsError as error:
         assert all(n in str(error) for n in (first, second, third)), error
     else:
-        raise AssertionError("taken")
+        raise AssertionError("the settings were accepted")
 
 
 @then("the gateway's process ends with exit code 2 and one line")
@@ -77,27 +77,27 @@
     with tempfile.NamedTemporaryFile("w", suffix=".conf") as file:
         file.write(context.settings_text)
         file.flush()
-        ended = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "hickorylead.platform", "gateway"],
             env={settings.PATH_VARIABLE: file.name},
             capture_output=True,
             text=True,
             check=False,
         )
-    assert ended.returncode == 2, ended
-    assert len(ended.stderr.strip().splitlines()) == 1, ended.stderr
+    assert process.returncode == 2, process
+    assert len(process.stderr.strip().splitlines()) == 1, process.stderr
 
 
 @given("a platform settings file with an unknown field")
 def _(context):
-    context.settings_text = GOOD + "Something.New=1\n"
+    context.settings_text = VALID_SETTINGS + "Something.New=1\n"
 
 
 @then("its seeds are the peer addresses of the coordinators")
 def _(context):
-    found = settings.parse_settings(context.settings_text, role="gateway")
-    assert found.seeds == ("127.0.0.2:7340", "127.0.0.3:7340"), found
-    assert found.zones == ("z1", "z2"), found
+    actual = settings.parse_settings(context.settings_text, role="gateway")
+    assert actual.seeds == ("127.0.0.2:7340", "127.0.0.3:7340"), actual
+    assert actual.zones == ("z1", "z2"), actual
 
 
 # Configurations and heartbeats.
@@ -108,13 +108,13 @@
     body = platform_cluster.make_configuration(4)
     route = body["Routes"][0]
     match change:
-        case "a text as version":
+        case "a string as version":
             body["Version"] = "4"
         case "no routes":
             del body["Routes"]
         case "an unknown kind":
             route["Kind"] = "whenever"
-        case "a route to nowhere":
+        case "an unknown service":
             route["Service"] = "nowhere"
         case "a timeout of 0":
             route["TimeoutMs"] = 0
@@ -123,13 +123,13 @@
         context.body = context.body[:-20]
 
 
-@then('reading it fails with "{reason}"')
+@then('decoding it fails with "{reason}"')
 def _(context, reason):
-    match documents.read_document(context.body):
+    match documents.decode_document(context.body):
         case result.Failure(problem):
             assert reason in problem, problem
-        case found:
-            raise AssertionError(found)
+        case actual:
+            raise AssertionError(actual)
 
 
 @given("a platform heartbeat with {change}")
@@ -145,21 +145,21 @@
     match change:
         case "no address":
             del body["Address"]
-        case "a wrong address":
+        case "a malformed address":
             body["Address"] = "somewhere"
         case "an unknown state":
             body["State"] = "tired"
         case "a number as zone":
             body["Zone"] = 7
-        case "a text as slots":
+        case "a string as slots":
             body["Slots"] = "two"
-        case "a text as born":
+        case "a string as born":
             body["born"] = "yesterday"
-        case "a number as list":
+        case "a number as models":
             body["Models"] = 3
-        case "a group unknown":
+        case "an unknown group state":
             body["group"] = make_platform_group(State="napping")
-        case "a group's epoch":
+        case "a string as epoch":
             body["group"] = make_platform_group(epoch="x")
     context.body = orjson.dumps(body)
     if change == "its end cut off":
@@ -169,16 +169,16 @@
 
 
 def make_platform_group(**changes):
-    """Returns a membership as servers tell it."""
+    """Returns a group membership as servers report it."""
     return {"Name": "g1", "epoch": 1, "rank": 0, "State": "open", **changes}
 
 
-@given("a server that began at {born:d}")
+@given("a server that started at {born:d}")
 def _(context, born):
     context.born = born
 
 
-@then("its heartbeat, its report and its last call tell that")
+@then("its heartbeat, report and deregistration contain that start time")
 def _(context):
     heartbeat = {
         "Service": "s",
@@ -188,55 +188,55 @@
         "Sequence": 3,
         "born": context.born,
     }
-    found = servers.read_heartbeat("i-1", orjson.dumps(heartbeat)).unwrap()
-    assert found.born == context.born
+    actual = servers.decode_heartbeat("i-1", orjson.dumps(heartbeat)).unwrap()
+    assert actual.born == context.born
     report = orjson.dumps({"Sequence": 2, "born": context.born})
-    found = servers.PlatformServerCodec().decode_report(report)
-    assert (found.accepted, found.born) == (2, context.born)
-    last = orjson.dumps({"born": context.born})
-    assert servers.read_born(last).unwrap() == context.born
+    actual = servers.PlatformServerCodec().decode_report(report)
+    assert (actual.accepted, actual.born) == (2, context.born)
+    deregistration = orjson.dumps({"born": context.born})
+    assert servers.decode_born(deregistration).unwrap() == context.born
 
 
-@then("a last call without a body tells nothing of it")
+@then("a deregistration without a body contains no start time")
 def _(context):
-    assert servers.read_born(b"").unwrap() == 0
+    assert servers.decode_born(b"").unwrap() == 0
 
 
-@then('reading the heartbeat fails with "{reason}"')
+@then('decoding the heartbeat fails with "{reason}"')
 def _(context, reason):
-    match servers.read_heartbeat("i-1", context.body):
+    match servers.decode_heartbeat("i-1", context.body):
         case result.Failure(problem):
             assert reason in problem, problem
-        case found:
-            raise AssertionError(found)
+        case actual:
+            raise AssertionError(actual)
 
 
 # Headers.
 
 
-def write_head(sent):
-    """Returns the lines of a request as a replica gets it."""
-    dialect = headers.PlatformHeaderCodec()
+def encode_head(sent):
+    """Returns the lines of a request's head as a replica receives it."""
+    codec = headers.PlatformHeaderCodec()
     request = model.Request(
         request_id="r1",
-        metadata=dialect.decode_metadata(sent),
+        metadata=codec.decode_metadata(sent),
         route=forwarder_harness.ROUTES["alerts"],
         service="plain",
         workspace="crew",
         method="POST",
         target=b"/alerts/1",
-        headers=dialect.list_forwarded_headers(sent, "crew"),
+        headers=codec.list_forwarded_headers(sent, "crew"),
         body=b"",
         urgency=1,
     )
     replica = model.Replica("i-1", "plain", "", "a:1", "z1", 6)
-    opened = events.StartAttempt(request, 1, replica, 0.5, 0, rank=4)
-    return dialect.encode_request_head(opened).decode().lower().split("\r\n")
+    attempt = events.StartAttempt(request, 1, replica, 0.5, 0, rank=4)
+    return codec.encode_request_head(attempt).decode().lower().split("\r\n")
 
 
 @given("a platform request with a forged workspace")
 def _(context):
-    context.lines = write_head(
+    context.lines = encode_head(
         [
             (b"host", b"h"),
             (b"attempt-id", b"a1"),
@@ -246,16 +246,16 @@
     )
 
 
-@then('the replica is told workspace "crew" once and no key')
+@then('the replica receives workspace "crew" once and no key')
 def _(context):
-    told = [line for line in context.lines if line.startswith("tenant")]
-    assert told == ["tenant: crew"], told
+    workspaces = [line for line in context.lines if line.startswith("tenant")]
+    assert workspaces == ["tenant: crew"], workspaces
     assert not any("secret" in line for line in context.lines)
 
 
-@given("a platform request with headers of its connection")
+@given("a platform request with connection headers")
 def _(context):
-    context.lines = write_head(
+    context.lines = encode_head(
         [
             (b"host", b"h"),
             (b"attempt-id", b"a1"),
@@ -267,7 +267,7 @@
     )
 
 
-@then("the replica gets neither of them")
+@then("the replica receives none of them")
 def _(context):
     names = {line.partition(":")[0] for line in context.lines}
     assert not names & {"connection", "keep-alive", "x-hop"}, names
@@ -277,9 +277,11 @@
 # Connections.
 
 OK = b"HTTP/1.1 200 OK\r\n"
-WHOLE = OK + b"Content-Length: 4\r\nKeep-Alive: timeout=9\r\n\r\nbody"
-ANSWERS = {
-    "a length": (WHOLE, ""),
+COMPLETE_RESPONSE = (
+    OK + b"Content-Length: 4\r\nKeep-Alive: timeout=9\r\n\r\nbody"
+)
+RESPONSES = {
+    "a length": (COMPLETE_RESPONSE, ""),
     "chunks": (
         OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
         "",
@@ -291,8 +293,11 @@
     "too few bytes": (OK + b"Content-Length: 9\r\n\r\nbody", "close"),
     "no length and a close": (OK + b"Connection: close\r\n\r\nbody", "close"),
     "no length and a reset": (OK + b"Connection: close\r\n\r\nbody", "reset"),
-    "bytes that are no answer": (b"\0\1\2 what\r\n\r\n", ""),
-    "a length and a second answer": (WHOLE + WHOLE, ""),
+    "bytes that are not HTTP": (b"\0\1\2 what\r\n\r\n", ""),
+    "a length and a second response": (
+        COMPLETE_RESPONSE + COMPLETE_RESPONSE,
+        "",
+    ),
 }
 
 
@@ -311,14 +316,14 @@
         return f"127.0.0.1:{port}"
 
     async def serve(self, reader, writer):
-        """Answers each request on a connection."""
+        """Responds to each request on a connection."""
         self.connections += 1
         try:
             while await reader.read(65536):
                 writer.write(self.data)
                 await writer.drain()
                 if self.end == "reset":
-                    # Bytes have to arrive before the reset does.
+                    # The bytes have to arrive before the reset does.
                     await asyncio.sleep(0.02)
                     linger = struct.pack("ii", 1, 0)
                     writer.get_extra_info("socket").setsockopt(
@@ -328,119 +333,119 @@
                 elif self.end == "close":
                     writer.close()
         except (OSError, asyncio.CancelledError):
-            # The test has closed its side, or ends.
+            # The test has closed its side, or has ended.
             writer.close()
 
 
-class Watcher:
-    """Keeps how an exchange ended."""
+class ResultRecorder:
+    """Records the result of a request."""
 
     def __init__(self) -> None:
         self.done = asyncio.get_running_loop().create_future()
         self.body = b""
 
-    def on_headers(self, status, found):
+    def on_headers(self, status, response_headers):
         self.status = status
 
     def on_body_chunk(self, data):
         self.body += data
 
     def on_complete(self):
-        self.done.set_result("whole")
+        self.done.set_result("complete")
 
     def on_failure(self, verdict, reason):
         self.done.set_result(verdict.value)
 
 
-async def ask_replica(replica, *, times=1, pause_s=0.0):
-    """Asks a replica over one pool; returns how each exchange ended."""
+async def send_requests(replica, *, times=1, pause_s=0.0):
+    """Sends requests over one pool; returns the result of each."""
     address = await replica.start() if replica else "127.0.0.1:1"
     pool = upstream.Pool()
-    ends = []
+    results = []
     for number in range(times):
         if number:
             await asyncio.sleep(pause_s)
-        watcher = Watcher()
+        recorder = ResultRecorder()
         pool.send_request(
-            address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", watcher
+            address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", recorder
         )
         async with asyncio.timeout(5):
-            ends.append(await watcher.done)
+            results.append(await recorder.done)
         await asyncio.sleep(0)
     pool.close()
     if replica:
         replica.server.close()
-    return ends
+    return results
 
 
-@given("a replica that answers with {answer}")
-def _(context, answer):
-    context.replica = Replica(*ANSWERS[answer])
+@given("a replica that responds with {response}")
+def _(context, response):
+    context.replica = Replica(*RESPONSES[response])
 
 
 @given("a replica that keeps connections for 1 second")
 def _(context):
-    data = WHOLE.replace(b"timeout=9", b"timeout=1")
+    data = COMPLETE_RESPONSE.replace(b"timeout=9", b"timeout=1")
     context.replica = Replica(data, "")
 
 
-@given("no replica listens")
+@given("a replica that does not listen")
 def _(context):
     context.replica = None
 
 
-@when("it is asked")
+@when("a request is sent to the replica")
 def _(context):
     with allow_slow_connections():
-        context.ends = asyncio.run(ask_replica(context.replica))
+        context.results = asyncio.run(send_requests(context.replica))
 
 
 @contextlib.contextmanager
 def allow_slow_connections():
-    """Gives a machine with other work to do time to connect.
+    """Extends the connect timeout, because the machine may be busy.
 
-    How an answer ends is the subject, not how long a connection may take.
+    The tests are about the end of a response, not about the connect timeout.
     """
-    usual_s, upstream.CONNECT_TIMEOUT_S = upstream.CONNECT_TIMEOUT_S, 5.0
+    timeout_s, upstream.CONNECT_TIMEOUT_S = upstream.CONNECT_TIMEOUT_S, 5.0
     try:
         yield
     finally:
-        upstream.CONNECT_TIMEOUT_S = usual_s
+        upstream.CONNECT_TIMEOUT_S = timeout_s
 
 
-@when("it is asked twice")
+@when("two requests are sent to the replica")
 def _(context):
-    context.ends = asyncio.run(ask_replica(context.replica, times=2))
+    context.results = asyncio.run(send_requests(context.replica, times=2))
 
 
-@when("it is asked twice with {pause:g} seconds in between")
+@when("two requests are sent to the replica {pause:g} seconds apart")
 def _(context, pause):
-    context.ends = asyncio.run(
-        ask_replica(context.replica, times=2, pause_s=pause)
+    context.results = asyncio.run(
+        send_requests(context.replica, times=2, pause_s=pause)
     )
 
 
-@then("the exchange ends with {end}")
-def _(context, end):
-    wanted = "may_have_run" if end == "failure" else end
-    assert context.ends == [wanted], context.ends
+@then("the result is {expected}")
+def _(context, expected):
+    verdict = "may_have_run" if expected == "failure" else expected
+    assert context.results == [verdict], context.results
 
 
 @then("the second request goes over a new connection")
 def _(context):
-    assert context.ends == ["whole", "whole"], context.ends
+    assert context.results == ["complete", "complete"], context.results
     assert context.replica.connections == 2, context.replica.connections
 
 
-@given('a replica\'s answer that names the limit "{text}"')
+@given('a replica\'s response that reports the limit "{text}"')
 def _(context, text):
-    given_headers = [(b"server-limit", text.encode())]
+    response_headers = [(b"server-limit", text.encode())]
     context.head = headers.PlatformHeaderCodec().decode_response_head(
-        200, given_headers
+        200, response_headers
     )
 
 
-@given('a replica\'s answer that names the limit ""')
+@given('a replica\'s response that reports the limit ""')
 def _(context):
     context.head = headers.PlatformHeaderCodec().decode_response_head(
         200, [(b"server-limit", b"")]
@@ -454,27 +459,28 @@
 
 
 @given(
-    "a replica's answer with status {status:d}, pause "
+    "a replica's response with status {status:d}, pause "
     '"{pause}" and leaving "{leaving}"'
 )
 def _(context, status, pause, leaving):
-    given_headers = [
+    response_headers = [
         (b"not-executed", b"1"),
         (b"retry-after", pause.encode()),
         (b"server-leaving", leaving.encode()),
     ]
     context.head = headers.PlatformHeaderCodec().decode_response_head(
-        status, given_headers
+        status, response_headers
     )
 
 
 @given(
-    'a replica\'s answer with status {status:d} that names "{name}" as at fault'
+    'a replica\'s response with status {status:d} that names "{name}" '
+    "as at fault"
 )
 def _(context, status, name):
-    given_headers = [(b"at-server", name.encode())]
+    response_headers = [(b"at-server", name.encode())]
     context.head = headers.PlatformHeaderCodec().decode_response_head(
-        status, given_headers
+        status, response_headers
     )
 
 
@@ -504,6 +510,6 @@
     assert not context.head.is_leaving, context.head
 
 
-@then('it names the unreadable header "{name}"')
+@then('it names the malformed header "{name}"')
 def _(context, name):
     assert context.head.malformed_headers == (name,), context.head
--- a/tests/steps/storage_steps.py
+++ b/tests/steps/storage_steps.py
@@ -17,9 +17,9 @@
 
 
 def make_folder(context):
-    keep = tempfile.TemporaryDirectory()
-    context.add_cleanup(keep.cleanup)
-    return pathlib.Path(keep.name)
+    directory = tempfile.TemporaryDirectory()
+    context.add_cleanup(directory.cleanup)
+    return pathlib.Path(directory.name)
 
 
 def list_payloads(count):
@@ -52,11 +52,11 @@
 
 @when("half a record is written behind them")
 def _(context):
-    whole = context.path.read_bytes()
-    context.path.write_bytes(whole + b"\0\0\0\x40\1\2\3\4torn rec")
+    data = context.path.read_bytes()
+    context.path.write_bytes(data + b"\0\0\0\x40\1\2\3\4torn rec")
 
 
-@then("a record added now is read again")
+@then("a record added now is restored as well")
 def _(context):
     opened = open_journal(context)
     opened.append(b"added")
@@ -81,18 +81,18 @@
         text = str(error)
         assert "byte" in text or "identity" in text, text
         return
-    raise AssertionError("it was opened")
+    raise AssertionError("the folder was opened")
 
 
-@then("cut at any byte it opens with all records before the cut")
+@then("truncated at any byte it opens with all complete records")
 def _(context):
     data = context.path.read_bytes()
     ends = [data.index(payload) + len(payload) for payload in context.payloads]
-    for cut in range(len(data)):
-        context.path.write_bytes(data[:cut])
+    for size in range(len(data)):
+        context.path.write_bytes(data[:size])
         opened = open_journal(context)
-        whole = sum(end <= cut for end in ends)
-        assert opened.payloads == context.payloads[:whole], cut
+        complete_count = sum(end <= size for end in ends)
+        assert opened.payloads == context.payloads[:complete_count], size
         opened.close()
 
 
@@ -103,17 +103,17 @@
     context.open = lambda: folder.DataFolder(context.folder, node)
 
 
-@then('"{node}" cannot open it, and is told whose it is')
+@then('"{node}" cannot open it, with an error naming its owner')
 def _(context, node):
     try:
         folder.DataFolder(context.folder, node)
     except errors.DataFolderError as error:
         assert NODE in str(error) and node in str(error)
         return
-    raise AssertionError("it was opened")
+    raise AssertionError("the folder was opened")
 
 
-@when("its identity file is cut short")
+@when("its identity file is truncated")
 def _(context):
     path = context.folder / "identity.json"
     path.write_text(path.read_text()[:10])
@@ -129,68 +129,68 @@
     )
 
 
-def persist(data, effects):
+def persist(data_folder, effects):
     for effect in effects:
         if isinstance(effect, messages.Persist):
-            data.persist(effect.record)
+            data_folder.persist(effect.record)
 
 
 @given("a voter that has persisted {count:d} records")
 def _(context, count):
     context.folder = make_folder(context)
-    context.data = folder.DataFolder(context.folder, NODE)
+    context.data_folder = folder.DataFolder(context.folder, NODE)
     context.voter = make_voter()
-    persist(context.data, context.voter.bootstrap("c", (f"{NODE}#a",)))
-    persist(context.data, context.voter.tick(5.0))
+    persist(context.data_folder, context.voter.bootstrap("c", (f"{NODE}#a",)))
+    persist(context.data_folder, context.voter.tick(5.0))
     for number in range(count):
         drain = changes.DrainVm(f"vm{number % 7}", number % 2 == 0)
         change = changes.Change(f"change-{number}", number, drain)
-        persist(context.data, context.voter.propose(change, 5.0))
+        persist(context.data_folder, context.voter.propose(change, 5.0))
     assert context.voter.configuration.version == count
-    assert context.data.needs_compaction()
+    assert context.data_folder.needs_compaction()
 
 
 @when("the journal is replaced")
 def _(context):
-    context.data.rewrite(context.voter.export_records())
-    assert not context.data.needs_compaction()
-    context.data.close()
+    context.data_folder.rewrite(context.voter.export_records())
+    assert not context.data_folder.needs_compaction()
+    context.data_folder.close()
 
 
 @then("a voter restored from it has the same state")
 def _(context):
     restored = make_voter()
     restored.restore(folder.DataFolder(context.folder, NODE).records)
-    old = context.voter
-    assert restored.term == old.term
-    assert restored.log.last_index == old.log.last_index
-    persist_none = restored.tick(20.0)
-    assert persist_none and restored.configuration == old.configuration
+    original = context.voter
+    assert restored.term == original.term
+    assert restored.log.last_index == original.log.last_index
+    effects = restored.tick(20.0)
+    assert effects and restored.configuration == original.configuration
 
 
-@given("a memo that was saved {count:d} times")
+@given("a value that was saved {count:d} times")
 def _(context, count):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
-    context.memo_folder = pathlib.Path(folder.name)
-    subject = saved_value.SavedValue(context.memo_folder, "servers")
+    context.value_folder = pathlib.Path(folder.name)
+    saved = saved_value.SavedValue(context.value_folder, "servers")
     for number in range(1, count + 1):
-        subject.save(b"value %d" % number)
+        saved.save(b"value %d" % number)
     context.count = count
 
 
-@when("its last save is cut at any byte")
+@when("its last save is truncated at any byte")
 def _(context):
-    file = context.memo_folder / f"servers.{context.count % 2}"
-    whole = file.read_bytes()
+    file = context.value_folder / f"servers.{context.count % 2}"
+    data = file.read_bytes()
     context.values = []
-    for size in range(len(whole)):
-        file.write_bytes(whole[:size])
+    for size in range(len(data)):
+        file.write_bytes(data[:size])
         context.values.append(
-            saved_value.SavedValue(context.memo_folder, "servers").value
+            saved_value.SavedValue(context.value_folder, "servers").value
         )
 
 
-@then("opening it gives the value of the save before")
+@then("opening it gives the value of the previous save")
 def _(context):
     assert set(context.values) == {b"value %d" % (context.count - 1)}
--- a/tests/steps/wire_steps.py
+++ b/tests/steps/wire_steps.py
@@ -56,7 +56,7 @@
     return strategies.builds(cls, **fields)
 
 
-@then("{count:d} random streams are read as they were packed, or refused")
+@then("{count:d} random streams are decoded as they were packed, or refused")
 def _(_, count):
     @settings(count)
     @hypothesis.given(
@@ -92,10 +92,10 @@
         strategies.binary(max_size=4),
         strategies.booleans(),
     )
-    def decode_damaged(message, place, damage, cut):
+    def decode_damaged(message, place, damage, is_truncated):
         data = codec.encode_envelope(codec.Envelope("a", "1:1", message))
         place %= len(data)
-        rest = b"" if cut else data[place + len(damage) :]
+        rest = b"" if is_truncated else data[place + len(damage) :]
         found = codec.decode_envelope(data[:place] + damage + rest)
         assert isinstance(found, result.Success | result.Failure)
 
@@ -103,27 +103,27 @@
     decode_damaged()
 
 
-@then("a message of {count:d} servers is refused wherever it is cut")
+@then("a message of {count:d} servers is refused wherever it is truncated")
 def _(_, count):
     servers = (
         instances.Instance(f"server-{n}", "service", f"10.0.0.{n}:80", "zone")
         for n in range(count)
     )
-    news = messages.InstanceNews("node", tuple(servers))
-    data = codec.encode_envelope(codec.Envelope("node", "1:1", news))
+    update = messages.InstanceNews("node", tuple(servers))
+    data = codec.encode_envelope(codec.Envelope("node", "1:1", update))
     for length in range(0, len(data), 7):
         found = codec.decode_envelope(data[:length])
         assert isinstance(found, result.Failure), length
 
 
-@then("a frame that says it has {size:d} bytes is refused at once")
+@then("a frame with a length of {size:d} bytes is refused at once")
 def _(_, size):
     reader = frame.FrameReader()
     try:
         reader.feed(size.to_bytes(4, "big"))
     except frame.FrameError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the frame was accepted")
 
 
 @then("each message type with drawn contents is the same after the codec")
@@ -132,16 +132,16 @@
 
         @settings(10)
         @hypothesis.given(draw_class(cls))
-        def check(message):
+        def run_codec(message):
             envelope = codec.Envelope("zone/vm/entry", "127.0.0.1:1", message)
             data = codec.encode_envelope(envelope)
             assert codec.decode_envelope(data).unwrap() == envelope
 
-        check()
+        run_codec()
     assert all(map(attrs.has, list_messages()))
 
 
-@then("the committed schema equals what the classes make")
+@then("the committed schema equals the generated one")
 def _(_):
     committed = schema.SCHEMA_FILE.read_text(encoding="utf-8")
     assert committed == schema.render_schema()
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -1,4 +1,4 @@
-"""Sessions with the real shells on loopback sockets, in one event loop."""
+"""A cluster of real processes on loopback sockets, in one event loop."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
                     max_lost_disks=1,
                 ),
                 server_codec=servers.PlatformServerCodec(),
-                read_document=documents.read_packed,
+                read_document=documents.decode_compressed,
                 make_app=control.make_app,
                 reload=lambda: None,
                 log=log,
@@ -128,7 +128,7 @@
                 grace_s=3.0,
             ),
             header_codec=headers.PlatformHeaderCodec(),
-            read_document=documents.read_packed,
+            read_document=documents.decode_compressed,
             reload=lambda: None,
             log=log,
         )
@@ -137,9 +137,9 @@
         self.lines: list[str] = []
 
     async def start(self) -> None:
-        """Starts everything and waits until it serves."""
-        shells = [*self.coordinators, self.gateway]
-        self._tasks = [asyncio.ensure_future(s.run()) for s in shells]
+        """Starts all processes and servers and waits until they serve."""
+        processes = [*self.coordinators, self.gateway]
+        self._tasks = [asyncio.ensure_future(p.run()) for p in processes]
         await self.wait_for(
             lambda: any(
                 c.role.voter.is_ready_leader(clock.read_boottime())
@@ -147,7 +147,7 @@
             )
         )
         for number in range(4):
-            # Two domains of two, so that there are two replicas.
+            # Two domains of two servers each make two replicas.
             await self._add(f"m{number}", "models", 20 + number, number // 2)
         for number in range(2):
             await self._add(f"p{number}", "desk", 30 + number, None)
@@ -172,30 +172,30 @@
         self.servers.append(server)
 
     async def stop(self) -> None:
-        """Ends everything."""
+        """Stops all servers and processes."""
         for server in self.servers:
             server.stop()
-        for shell in [*self.coordinators, self.gateway]:
-            shell._stop.set()
+        for process in [*self.coordinators, self.gateway]:
+            process._stop.set()
         await asyncio.wait(self._tasks, timeout=10)
         os.close(self._log)
 
     async def wait_for(self, condition, limit_s: float = 15.0) -> None:
-        """Waits until something holds."""
+        """Waits until a condition holds."""
         async with asyncio.timeout(limit_s):
             while not condition():
                 await asyncio.sleep(0.01)
 
     def list_model_replicas(self) -> list:
-        """Returns the replicas of the model that the gateway offers."""
-        return self.gateway.role._directory.list_replicas("models", MODEL)
+        """Returns the replicas of the model that the gateway knows."""
+        return self.gateway.role._view.list_replicas("models", MODEL)
 
     def find_server(self, name: str) -> platform.PlatformServer:
         """Returns a backend server."""
         return next(s for s in self.servers if s.name == name)
 
     async def configure(self, version: int, **changes) -> int:
-        """Sends a configuration and waits until the gateway has it."""
+        """Sends a configuration; returns the status."""
         body = make_configuration(version, **changes)
         return await self.replace_configuration(orjson.dumps(body))
 
@@ -212,7 +212,7 @@
     async def send_request(
         self, path: str, body: bytes = b"", **extra: str
     ) -> bytes:
-        """Sends a request as a caller; returns the raw answer."""
+        """Sends a request as a caller; returns the raw response."""
         fields = {
             "Host": "host.example",
             "Attempt-Id": f"a{len(self.lines)}",
@@ -225,30 +225,32 @@
         head = "".join(f"{k}: {v}\r\n" for k, v in fields.items())
         request = f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
         self.record("caller", f"POST {path}")
-        answer = await platform.send_raw(self.caller_address, request)
-        for line in answer.decode("latin-1").splitlines():
+        response = await platform.send_raw(self.caller_address, request)
+        for line in response.decode("latin-1").splitlines():
             if line:
                 self.record("caller", f"< {line}")
-        return answer
+        return response
 
     def record_received(self, since: dict[str, int]) -> None:
-        """Notes what backend servers were sent since a time."""
+        """Records requests that servers received beyond the counts given."""
         for server in self.servers:
-            for got in server.received[since.get(server.name, 0) :]:
+            for request in server.received[since.get(server.name, 0) :]:
                 kept = {
                     k: v
-                    for k, v in sorted(got.headers.items())
+                    for k, v in sorted(request.headers.items())
                     if k not in ("content-length", "host")
                 }
                 fields = ", ".join(f"{k}={v}" for k, v in kept.items())
-                self.record("server", f"{got.method} {got.target} {fields}")
+                self.record(
+                    "server", f"{request.method} {request.target} {fields}"
+                )
 
     def count_received(self) -> dict[str, int]:
-        """Returns how many requests each server has got."""
+        """Returns how many requests each server has received."""
         return {s.name: len(s.received) for s in self.servers}
 
     def record(self, side: str, text: str) -> None:
-        """Adds a line to the record."""
+        """Adds a line to the record, with variable parts replaced."""
         text = re.sub(r"time-budget=\d+", "time-budget=N", text)
         text = re.sub(r"(seal\.|expect-instance=)[mp]\d", r"\1SERVER", text)
         text = re.sub(r"\b[mp]\d got", "SERVER got", text)
@@ -256,128 +258,134 @@
         self.lines.append(f"{side:9} {text}".rstrip())
 
     def render(self) -> str:
-        """Returns the record."""
+        """Returns the record as text."""
         return "\n".join(self.lines) + "\n"
 
 
 async def run_session(session) -> str:
-    """Plays a session on a day of its own; returns the record."""
+    """Runs a session on a new cluster; returns the record."""
     with tempfile.TemporaryDirectory() as folder:
-        day = PlatformCluster(pathlib.Path(folder))
+        cluster = PlatformCluster(pathlib.Path(folder))
         try:
-            await day.start()
-            day.lines.clear()
-            await session(day)
-            return day.render()
+            await cluster.start()
+            cluster.lines.clear()
+            await session(cluster)
+            return cluster.render()
         finally:
-            await day.stop()
+            await cluster.stop()
 
 
 # The sessions.
 
 
-async def run_stream(day: PlatformCluster) -> None:
+async def run_stream(cluster: PlatformCluster) -> None:
     """A stream from a replica of two servers."""
-    since = day.count_received()
-    for server in day.servers:
+    since = cluster.count_received()
+    for server in cluster.servers:
         server.manner.events = 3
-    await day.send_request(
+    await cluster.send_request(
         "/drafts/one", b"words", Model=MODEL, Token_Count="5,9"
     )
-    day.record_received(since)
+    cluster.record_received(since)
     head = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-    answer = await platform.send_raw(f"127.0.7.9:{METRICS_PORT}", head)
-    for line in answer.decode().splitlines():
+    response = await platform.send_raw(f"127.0.7.9:{METRICS_PORT}", head)
+    for line in response.decode().splitlines():
         if 'le="+Inf"' in line or line.startswith("hickorylead_replicas"):
-            day.record("metrics", line)
+            cluster.record("metrics", line)
 
 
-async def run_resumed_stream(day: PlatformCluster) -> None:
+async def run_resumed_stream(cluster: PlatformCluster) -> None:
     """A stream whose replica resets it in the middle of its third event."""
-    since = day.count_received()
+    since = cluster.count_received()
     chosen = []
-    for server in day.servers:
+    for server in cluster.servers:
         server.manner.events = 5
         server.manner.cut_after = 3
-    # Only the first one asked breaks off.
-    answering = asyncio.ensure_future(
-        day.send_request(
+    # Only the first server that receives the request resets it.
+    request = asyncio.ensure_future(
+        cluster.send_request(
             "/drafts/one", b"words", Model=MODEL, Token_Count="5,9"
         )
     )
-    await day.wait_for(
-        lambda: any(len(s.received) > since.get(s.name, 0) for s in day.servers)
+    await cluster.wait_for(
+        lambda: any(
+            len(s.received) > since.get(s.name, 0) for s in cluster.servers
+        )
     )
-    for server in day.servers:
+    for server in cluster.servers:
         if len(server.received) == since.get(server.name, 0):
             server.manner.cut_after = 0
         else:
             chosen.append(server.name)
-    await answering
+    await request
     assert len(chosen) == 1, chosen
-    received = [s for s in day.servers if s.name in chosen]
-    rest = [s for s in day.servers if s.name not in chosen]
-    day.servers = [*received, *rest]
-    day.record_received(since)
-
-
-async def run_plain_call(day: PlatformCluster) -> None:
-    """Calls of a plain service: let in, refused, unknown, too large."""
-    since = day.count_received()
-    await day.send_request("/alerts/7?x=%2f%20", b"tree", X_Kept="yes")
-    await day.send_request("/alerts/7", b"tree", Authorization="Token wrong")
-    await day.send_request("/nowhere/7", b"tree")
-    await day.send_request("/alerts/7", bytes(2000))
-    await day.send_request("/alerts/7", b"", X_Long="x" * 3000)
-    await day.send_request("/alerts/7", b"", Time_Budget="soon")
-    day.record_received(since)
-
-
-async def run_configuration_change(day: PlatformCluster) -> None:
-    """A change, a resend, an old version, bad ones, and a read."""
-    await day.send_request("/alerts/1")
-    await day.configure(7, key="key-2")
-    await day.wait_for(lambda: day.gateway.role.document.version == 7)
-    await day.send_request("/alerts/2")
-    await day.send_request("/alerts/3", Authorization="Token key-2")
+    received = [s for s in cluster.servers if s.name in chosen]
+    rest = [s for s in cluster.servers if s.name not in chosen]
+    cluster.servers = [*received, *rest]
+    cluster.record_received(since)
+
+
+async def run_plain_call(cluster: PlatformCluster) -> None:
+    """Calls of a plain service: accepted, unauthorized, unknown, too large."""
+    since = cluster.count_received()
+    await cluster.send_request("/alerts/7?x=%2f%20", b"tree", X_Kept="yes")
+    await cluster.send_request(
+        "/alerts/7", b"tree", Authorization="Token wrong"
+    )
+    await cluster.send_request("/nowhere/7", b"tree")
+    await cluster.send_request("/alerts/7", bytes(2000))
+    await cluster.send_request("/alerts/7", b"", X_Long="x" * 3000)
+    await cluster.send_request("/alerts/7", b"", Time_Budget="soon")
+    cluster.record_received(since)
+
+
+async def run_configuration_change(cluster: PlatformCluster) -> None:
+    """A change, a resend, an old version, invalid ones, and a read."""
+    await cluster.send_request("/alerts/1")
+    await cluster.configure(7, key="key-2")
+    await cluster.wait_for(lambda: cluster.gateway.role.document.version == 7)
+    await cluster.send_request("/alerts/2")
+    await cluster.send_request("/alerts/3", Authorization="Token key-2")
     same = orjson.dumps(make_configuration(7, key="key-2"))
-    await day.replace_configuration(same, 1)
-    await day.configure(5)
+    await cluster.replace_configuration(same, 1)
+    await cluster.configure(5)
     for body in (
         same[:-9],
         b"[]",
         orjson.dumps({**make_configuration(9), "Version": "9"}),
         orjson.dumps({**make_configuration(9), "Services": []}),
     ):
-        await day.replace_configuration(body, 2)
+        await cluster.replace_configuration(body, 2)
     head = b"GET /config/read HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-    for address in day.controls:
-        answer = await platform.send_raw(address, head)
-        day.record("operator", f"reads: {answer.endswith(same)}")
+    for address in cluster.controls:
+        response = await platform.send_raw(address, head)
+        cluster.record("operator", f"reads: {response.endswith(same)}")
 
 
-async def run_leaving_replica(day: PlatformCluster) -> None:
-    """A server of a replica drains; another one leaves for good."""
-    head = day.list_model_replicas()[0].name
-    server = day.find_server(head)
+async def run_leaving_replica(cluster: PlatformCluster) -> None:
+    """A server of a replica drains; another one deregisters."""
+    head = cluster.list_model_replicas()[0].name
+    server = cluster.find_server(head)
     server.state = "draining"
-    day.record("server", f"drains: {await server.send_heartbeat()}")
-    await day.wait_for(
-        lambda: all(r.name != head for r in day.list_model_replicas()), 1.0
+    cluster.record("server", f"drains: {await server.send_heartbeat()}")
+    await cluster.wait_for(
+        lambda: all(r.name != head for r in cluster.list_model_replicas()), 1.0
     )
     before = len(server.received)
-    for other in day.servers:
+    for other in cluster.servers:
         other.manner.events = 1
     for _ in range(3):
-        await day.send_request("/drafts/x", b"", Model=MODEL, Token_Count="5,9")
-    day.record("server", f"got after that: {len(server.received) - before}")
-    plain = day.find_server("p0")
-    day.record("server", f"leaves: {await plain.deregister()}")
-    await day.wait_for(
-        lambda: len(day.gateway.role._directory.list_replicas("desk", "")) == 1
+        await cluster.send_request(
+            "/drafts/x", b"", Model=MODEL, Token_Count="5,9"
+        )
+    cluster.record("server", f"got after that: {len(server.received) - before}")
+    plain = cluster.find_server("p0")
+    cluster.record("server", f"leaves: {await plain.deregister()}")
+    await cluster.wait_for(
+        lambda: len(cluster.gateway.role._view.list_replicas("desk", "")) == 1
     )
     plain.stop()
-    await day.send_request("/alerts/9", b"still")
+    await cluster.send_request("/alerts/9", b"still")
 
 
 SESSIONS = {
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -1,4 +1,4 @@
-"""Fake backend servers in given time, with their own record of runs."""
+"""Simulated backend servers in simulated time, with a list of their runs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class Run:
-    """One run in a server's own record."""
+    """A run of a request on a server."""
 
     request_id: str
     attempt_id: str
@@ -22,7 +22,7 @@
 
 @attrs.define
 class Server:
-    """One backend server."""
+    """A simulated backend server."""
 
     member: member.Member
     batch: batch.Batch
@@ -39,14 +39,14 @@
         factory=lambda: collections.defaultdict(list)
     )
     service_s: float = 0.05
-    # The pause that it asks for as it turns each request away, and when it did
-    # so to which entry.
+    # If set, the server refuses each request and requests this pause. The list
+    # holds the time and the entry of each refusal.
     refusal_retry_after_s: float | None = None
     refusals: list[tuple[float, str]] = attrs.field(factory=list)
 
     @property
     def state(self) -> announcements.ServerState:
-        """What it announces."""
+        """The state that it announces."""
         return self.member.state
 
     @property
@@ -55,7 +55,7 @@
         return self.state.kind == announcements.KIND_PLAIN
 
     def is_up(self, now: float) -> bool:
-        """Whether it works at this time."""
+        """Whether it is running and not paused."""
         return self.alive and now >= self.paused_until
 
 
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -442,7 +442,7 @@
             return
         old = server.state
         before = (old.group, old.generation)
-        refusal = server.member.take_order(order)
+        refusal = server.member.apply_order(order)
         self.log.append(
             f"{self.now:.2f} {node} {type(order).__name__} {order.vm}"
             f" {order.group} {refusal}"
--- a/tests/wire/frames.feature
+++ b/tests/wire/frames.feature
@@ -1,29 +1,30 @@
 Feature: Frames and messages between processes
 
-  Scenario: Whatever comes on a connection, the reader gives frames or an error
-    Bytes come in any pieces, damaged or not. The reader raises its own error
-    only, holds at most one frame, and gives back exactly what was packed.
-    Then 300 random streams are read as they were packed, or refused
+  Scenario: For any bytes received, the reader returns frames or an error
+    Bytes arrive in chunks of any size, damaged or not. The reader raises only
+    its own error, buffers at most one frame, and returns exactly what was
+    packed.
+    Then 300 random streams are decoded as they were packed, or refused
 
-  Scenario: A damaged message is an error and nothing else
-    Any bytes are given to the decoder, and real messages with bytes changed,
-    cut off or added. It gives a message or an error; it never raises.
+  Scenario: A damaged message is reported as an error and never raises
+    The decoder gets random bytes, and real messages with bytes changed, cut
+    off or added. It returns a message or an error.
     Then 500 random and 500 damaged messages are decoded or refused
 
-  Scenario: A length that is too large is refused before its bytes come
-    A length of 4 GB would fill the memory if its bytes were waited for.
-    Then a frame that says it has 4294967295 bytes is refused at once
+  Scenario: A length that is too large is refused before its bytes arrive
+    A length of 4 GB would exhaust the memory if its bytes were buffered.
+    Then a frame with a length of 4294967295 bytes is refused at once
 
-  Scenario: A message that ends early is refused, and the process goes on
-    A message of many servers has several segments. Cut in a later one, it is
-    read as far as anybody asks; the rest is missed when the reader is freed,
-    in a place where an error ends the process.
-    Then a message of 200 servers is refused wherever it is cut
+  Scenario: A truncated message is refused, and the process keeps running
+    A message of many servers has several segments. If a later one is truncated,
+    all fields that are read may decode. The library then finds the damage only
+    as its reader is freed, and such an error ends the process.
+    Then a message of 200 servers is refused wherever it is truncated
 
-  Scenario: Every message type survives the way there and back
+  Scenario: Every message type is unchanged by encoding and decoding
     Then each message type with drawn contents is the same after the codec
 
-  Scenario: The committed schema is the one that the classes make
-    The schema is committed so that no generator runs on the machines. One
-    that was not made anew after a change of a class would lose fields.
-    Then the committed schema equals what the classes make
+  Scenario: The committed schema equals the one generated from the classes
+    The schema is committed so that no generator runs on the VMs. If it was not
+    regenerated after a change of a class, fields would be lost.
+    Then the committed schema equals the generated one
