--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -1,6 +1,6 @@
-"""Measures what is remembered and told of requests that end servers.
+"""Measures messages, memory and time for requests that crash servers.
 
-Run as `python bench/crashes.py`; docs/CAPACITY.md has what it prints.
+Run as `python bench/crashes.py`; docs/CAPACITY.md has the results.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from hickorylead.wire import codec
 
 NODE = "waikato-1/core-hamilton-1/coordinator"
-# Requests under way at a replica at the peak: 3,500 a second for 4 s, 600
-# replicas.
-RUNNING = 23
-# Replicas of a zone that is lost.
-ZONE = 120
+# Requests in flight at a replica at the peak: 3,500 a second of 4 s each, over
+# 600 replicas.
+RUNS_PER_REPLICA = 23
+# Replicas in a zone that is lost.
+ZONE_REPLICAS = 120
 ROUNDS = 200
 # A prompt of some 1,400 tokens.
 BODY_BYTES = 8192
 
 
 def make_crashes(replicas: int, running: int) -> tuple[messages.Crash, ...]:
-    """Returns the runs that are lost with some replicas."""
+    """Returns the runs that are lost when replicas crash."""
     return tuple(
         messages.Crash(
             (server * 1000 + number) * 2654435761 % 2**63,
@@ -58,31 +58,31 @@
 def run() -> None:
     """Prints sizes, memory and times."""
     one = make_crashes(1, 1)
-    replica = make_crashes(1, RUNNING)
-    zone = make_crashes(ZONE, RUNNING)
+    replica = make_crashes(1, RUNS_PER_REPLICA)
+    zone = make_crashes(ZONE_REPLICAS, RUNS_PER_REPLICA)
     for title, crashes in (
         ("1 lost run", one),
-        (f"{RUNNING} lost runs", replica),
+        (f"{RUNS_PER_REPLICA} lost runs", replica),
         (f"a zone, {len(zone)} lost runs", zone),
     ):
-        news = messages.CrashNews(NODE, crashes)
-        print(f"CrashNews, {title}: {measure_size(news)} B")
+        update = messages.CrashNews(NODE, crashes)
+        print(f"CrashNews, {title}: {measure_size(update)} B")
     blocks = tuple(messages.Block(c.content, 900_000) for c in replica[:5])
-    news = messages.BlockNews(NODE, blocks)
-    print(f"BlockNews, 5 blocks: {measure_size(news)} B")
+    update = messages.BlockNews(NODE, blocks)
+    print(f"BlockNews, 5 blocks: {measure_size(update)} B")
     tracemalloc.start()
-    subject = crash_tracker.CrashTracker(NODE)
-    subject.merge(messages.CrashNews(NODE, zone), (), 100.0)
+    tracker = crash_tracker.CrashTracker(NODE)
+    tracker.merge(messages.CrashNews(NODE, zone), (), 100.0)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    print(f"ledger with a zone's lost runs: {used / 1e6:.2f} MB")
-    tick_us = measure_time(lambda: subject.tick(lambda _: False, (), 100.0))
+    print(f"crash history with a zone's lost runs: {used / 1e6:.2f} MB")
+    tick_us = measure_time(lambda: tracker.tick(lambda _: False, (), 100.0))
     print(f"tick with them: {tick_us:.0f} us")
-    book = crash_history.CrashHistory()
+    history = crash_history.CrashHistory()
     for crash in zone:
-        book.merge(crash, 100.0)
-    forget_us = measure_time(lambda: book.prune(101.0))
-    print(f"forgetting, once a second: {forget_us:.0f} us")
+        history.merge(crash, 100.0)
+    prune_us = measure_time(lambda: history.prune(101.0))
+    print(f"pruning, once a second: {prune_us:.0f} us")
     body = bytes(BODY_BYTES)
     hash_us = measure_time(
         lambda: request_hash.hash_request("crew", (b"POST", b"/drafts/", body))
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
 """Control costs of gateways and coordinators, at several sizes.
 
-A deployment is built in one process with given time, by the real reducers;
-what each node sends is encoded by the real codec and counted.
+A deployment of the real reducers runs in one process, in simulated time. What
+each node sends is encoded by the real codec and counted.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from hickorylead.roles import nodes
 from hickorylead.wire import codec, frame
 
-QUIET_S = 10.0
+IDLE_S = 10.0
 LOSSES = 5
-LOSS_PERIOD_S = 2.0
+LOSS_INTERVAL_S = 2.0
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
         gateways: Gateways of a zone.
         coordinators: Coordinators of a zone.
         servers: Backend servers of a zone.
-        domain: Servers of a fabric domain.
+        domain: Backend servers of a fabric domain.
     """
 
     gateways: int
@@ -45,8 +45,8 @@
 SIZES = (Size(3, 1, 16, 8), Size(12, 2, 32, 8), Size(24, 2, 57, 19))
 
 
-class Count:
-    """Bytes and messages by role, in one stretch of time."""
+class MessageCounter:
+    """Bytes and messages of each node, during one measurement."""
 
     def __init__(self) -> None:
         self.sent = collections.Counter()
@@ -54,10 +54,10 @@
         self.messages = collections.Counter()
         self._last = (None, 0)
 
-    def watch(self, sender: str, target: str, message: object) -> None:
+    def record(self, sender: str, target: str, message: object) -> None:
         """Counts one message."""
-        known, size = self._last
-        if known is not message:
+        last_message, size = self._last
+        if last_message is not message:
             envelope = codec.Envelope(sender, "10.0.0.10:7000", message)
             size = len(codec.encode_envelope(envelope)) + frame.HEADER.size
             self._last = (message, size)
@@ -68,40 +68,40 @@
 
 def measure(size: Size) -> list[list[str]]:
     """Returns rows of the table for a size."""
-    world = fleet_simulation.FleetSimulation(
+    simulation = fleet_simulation.FleetSimulation(
         servers_per_zone=size.servers,
         domain_size=size.domain,
         gateways_per_zone=size.gateways,
         coordinators_per_zone=size.coordinators,
     )
-    world.run(2.0)
-    world.replace(world.coordinator_names[0], 1)
+    simulation.run(2.0)
+    simulation.replace(simulation.coordinator_names[0], 1)
     rows = []
-    forming = _play(world, lambda: world.run(10.0))
+    forming = _count_messages(simulation, lambda: simulation.run(10.0))
     rows += _render(size, "groups form", 10.0, forming)
-    quiet = _play(world, lambda: world.run(QUIET_S))
-    rows += _render(size, "quiet", QUIET_S, quiet)
+    idle = _count_messages(simulation, lambda: simulation.run(IDLE_S))
+    rows += _render(size, "quiet", IDLE_S, idle)
 
-    def lose() -> None:
+    def lose_servers() -> None:
         for number in range(LOSSES):
-            world.crash(world.list_open()[number].name)
-            world.run(LOSS_PERIOD_S)
+            simulation.crash(simulation.list_open()[number].name)
+            simulation.run(LOSS_INTERVAL_S)
 
-    lossy = _play(world, lose)
-    rows += _render(size, "a loss each 2 s", LOSSES * LOSS_PERIOD_S, lossy)
+    lossy = _count_messages(simulation, lose_servers)
+    rows += _render(size, "a loss each 2 s", LOSSES * LOSS_INTERVAL_S, lossy)
     return rows
 
 
-def _play(world, action) -> Count:
-    count = Count()
-    world.on_send = count.watch
+def _count_messages(simulation, action) -> MessageCounter:
+    counter = MessageCounter()
+    simulation.on_send = counter.record
     action()
-    world.on_send = None
-    return count
+    simulation.on_send = None
+    return counter
 
 
 def _render(
-    size: Size, stretch: str, seconds: float, count: Count
+    size: Size, period: str, seconds: float, counter: MessageCounter
 ) -> list[list[str]]:
     rows = []
     for role in (nodes.GATEWAY, nodes.COORDINATOR):
@@ -110,8 +110,8 @@
             size.gateways if role == nodes.GATEWAY else size.coordinators
         )
 
-        def mean(counter, ending=ending, number=number) -> float:
-            total = sum(v for n, v in counter.items() if n.endswith(ending))
+        def mean_per_s(counts, ending=ending, number=number) -> float:
+            total = sum(v for n, v in counts.items() if n.endswith(ending))
             return total / number / seconds
 
         rows.append(
@@ -119,11 +119,11 @@
                 str(3 * size.gateways),
                 str(3 * size.coordinators),
                 str(3 * size.servers),
-                stretch,
+                period,
                 role,
-                f"{mean(count.sent):.0f}",
-                f"{mean(count.received):.0f}",
-                f"{mean(count.messages):.1f}",
+                f"{mean_per_s(counter.sent):.0f}",
+                f"{mean_per_s(counter.received):.0f}",
+                f"{mean_per_s(counter.messages):.1f}",
             ]
         )
     return rows
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,6 +1,6 @@
-"""Measures what is remembered and told of servers that name a rate limit.
+"""Measures messages, memory and time for servers that report a rate limit.
 
-Run as `python bench/limits.py`; docs/CAPACITY.md has what it prints.
+Run as `python bench/limits.py`; docs/CAPACITY.md has the results.
 """
 
 from __future__ import annotations
@@ -21,19 +21,18 @@
 from hickorylead.wire import codec
 
 GATEWAY = "waikato-1/front-hamilton-12/gateway"
-HOME = "waikato-1/core-hamilton-1/coordinator"
-# Replicas that name a limit at the same time: a tenth of 600.
+COORDINATOR = "waikato-1/core-hamilton-1/coordinator"
+# Replicas that report a limit at the same time: a tenth of 600, and all.
 LIMITED = 60
-# And all of them.
 ALL = 600
-# Servers that a gateway asks permits of at once: 9.7 requests/s, and permits
-# for those that could use one are asked for each 0.5 s.
-ASKED = 5
+# Servers whose permits a gateway requests at once: it gets 9.7 requests/s, and
+# every 0.5 s it requests permits for the servers that could use one.
+REQUESTED = 5
 ROUNDS = 2000
 
 
 def make_limits(count: int) -> tuple[messages.RateLimit, ...]:
-    """Returns limits as a node is told them."""
+    """Returns rate limits as a node receives them."""
     return tuple(
         messages.RateLimit(
             f"i-{n:010x}", 1_784_102_400_000 + n, 1.1, True, 500, 20_000
@@ -44,7 +43,7 @@
 
 def measure_size(message: messages.Message) -> int:
     """Returns the bytes of an encoded message."""
-    return len(codec.encode_envelope(codec.Envelope(HOME, "", message)))
+    return len(codec.encode_envelope(codec.Envelope(COORDINATOR, "", message)))
 
 
 def measure_time(action) -> float:
@@ -56,89 +55,99 @@
 
 
 def make_replica(limit: messages.RateLimit) -> model.Replica:
-    """Returns the replica of a limit."""
+    """Returns the replica that a limit applies to."""
     return model.Replica(
         limit.server, "model", "large", "10.0.0.1:80", "z1", 13, born=limit.born
     )
 
 
-def make_exchange() -> permit_broker.PermitBroker:
-    """Returns the exchange of a coordinator that is alone."""
+def make_broker() -> permit_broker.PermitBroker:
+    """Returns the permit broker of a coordinator without peers."""
     return permit_broker.PermitBroker(
-        HOME,
+        COORDINATOR,
         registry=registry.Registry(),
-        neighbours=peer_directory.PeerDirectory(node=HOME, seeds=()),
-        gateways=gateways.Gateways(zone=HOME),
+        neighbours=peer_directory.PeerDirectory(node=COORDINATOR, seeds=()),
+        gateways=gateways.Gateways(zone=COORDINATOR),
     )
 
 
 def print_sizes(limits: tuple[messages.RateLimit, ...]) -> None:
     """Prints the sizes of messages."""
-    asks = tuple(messages.Ask(limit, 2) for limit in limits[:ASKED])
-    given = tuple(
+    requested = tuple(messages.Ask(limit, 2) for limit in limits[:REQUESTED])
+    permits = tuple(
         messages.Permits(limit.server, limit.born, 1, 2000, 700)
-        for limit in limits[:ASKED]
+        for limit in limits[:REQUESTED]
     )
     for title, message in (
-        ("LimitNews, 1 limit", messages.LimitNews(HOME, limits[:1])),
-        (f"LimitNews, {LIMITED}", messages.LimitNews(HOME, limits)),
-        ("PermitRequest, 1", messages.PermitRequest(GATEWAY, 1, asks[:1])),
-        (f"PermitRequest, {ASKED}", messages.PermitRequest(GATEWAY, 1, asks)),
-        ("PermitReply, 1", messages.PermitReply(GATEWAY, 1, given[:1])),
-        (f"PermitReply, {ASKED}", messages.PermitReply(GATEWAY, 1, given)),
+        ("LimitNews, 1 limit", messages.LimitNews(COORDINATOR, limits[:1])),
+        (f"LimitNews, {LIMITED}", messages.LimitNews(COORDINATOR, limits)),
+        ("PermitRequest, 1", messages.PermitRequest(GATEWAY, 1, requested[:1])),
+        (
+            f"PermitRequest, {REQUESTED}",
+            messages.PermitRequest(GATEWAY, 1, requested),
+        ),
+        ("PermitReply, 1", messages.PermitReply(GATEWAY, 1, permits[:1])),
+        (
+            f"PermitReply, {REQUESTED}",
+            messages.PermitReply(GATEWAY, 1, permits),
+        ),
     ):
         print(f"{title}: {measure_size(message)} B")
 
 
 def print_memory() -> None:
-    """Prints the memory of what a gateway and a coordinator keep."""
+    """Prints the memory that a gateway and a coordinator use for limits."""
     tracemalloc.start()
-    gateway = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
-    gateway.merge_limits(make_limits(ALL), 100.0)
+    pool = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
+    pool.merge_limits(make_limits(ALL), 100.0)
     for limit in make_limits(ALL):
-        gateway.request_permit(make_replica(limit), is_needed=False, now=100.0)
+        pool.request_permit(make_replica(limit), is_needed=False, now=100.0)
     used, _ = tracemalloc.get_traced_memory()
     print(f"gateway, {ALL} limits and accounts: {used / 1e6:.2f} MB")
     tracemalloc.reset_peak()
     before, _ = tracemalloc.get_traced_memory()
-    coordinator = make_exchange()
-    coordinator.merge_limits(messages.LimitNews(HOME, make_limits(ALL)), 100.0)
+    broker = make_broker()
+    broker.merge_limits(
+        messages.LimitNews(COORDINATOR, make_limits(ALL)), 100.0
+    )
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"coordinator, {ALL} limits: {(after - before) / 1e6:.2f} MB")
 
 
 def print_times(limits: tuple[messages.RateLimit, ...]) -> None:
-    """Prints the processor time of a request for permits, on its way."""
-    subject = make_exchange()
-    subject.merge_limits(messages.LimitNews(HOME, limits), 100.0)
-    asks = tuple(messages.Ask(limit, 2) for limit in limits[:ASKED])
-    request = messages.PermitRequest(GATEWAY, 1, asks)
-    packed = codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
-
-    def answer() -> None:
-        subject.handle_request(request, GATEWAY, is_fresh=True, now=100.0)
-
-    print(f"answering a request of {ASKED}: {measure_time(answer):.0f} us")
-    decode_us = measure_time(lambda: codec.decode_envelope(packed))
+    """Prints the processor time of each step of a request for permits."""
+    broker = make_broker()
+    broker.merge_limits(messages.LimitNews(COORDINATOR, limits), 100.0)
+    requested = tuple(messages.Ask(limit, 2) for limit in limits[:REQUESTED])
+    request = messages.PermitRequest(GATEWAY, 1, requested)
+    encoded = codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
+
+    def handle() -> None:
+        broker.handle_request(request, GATEWAY, is_fresh=True, now=100.0)
+
+    print(f"handling a request of {REQUESTED}: {measure_time(handle):.0f} us")
+    decode_us = measure_time(lambda: codec.decode_envelope(encoded))
     encode_us = measure_time(
         lambda: codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
     )
     print(f"decoding it: {decode_us:.0f} us; encoding it: {encode_us:.0f} us")
-    gateway = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
-    gateway.merge_limits(limits, 100.0)
+    pool = permit_pool.PermitPool(GATEWAY, first=1, rng=random.Random(1))
+    pool.merge_limits(limits, 100.0)
     replicas = [make_replica(limit) for limit in limits]
 
-    def look() -> None:
+    def check() -> None:
         for replica in replicas:
-            gateway.may_send(replica, 100.0)
+            pool.may_send(replica, 100.0)
 
-    us = measure_time(look)
-    print(f"choosing among {LIMITED} that name a limit: {us:.0f} us more")
-    known = limit_table.KnownLimit(0, 1.1, True, 100.0, 100.0)
-    bucket = allocator.Allocator()
+    us = measure_time(check)
+    print(f"choosing among {LIMITED} that report a limit: {us:.0f} us more")
+    limit = limit_table.KnownLimit(0, 1.1, True, 100.0, 100.0)
+    permit_allocator = allocator.Allocator()
     us = measure_time(
-        lambda: bucket.allocate(asks[0], known, is_fresh=True, now=100.0)
+        lambda: permit_allocator.allocate(
+            requested[0], limit, is_fresh=True, now=100.0
+        )
     )
     print(f"one server's permits: {us:.1f} us")
 
--- a/bench/live.py
+++ b/bench/live.py
@@ -1,8 +1,8 @@
-"""Measures real processes: added latency, cost of a request and a token.
+"""Measures real processes: added latency, cost of a request and of a token.
 
-Wall-clock figures are taken side by side in one run (through the entry, and
-directly from the stand-in engine); what can be compared between runs is the
-processor time that the kernel counted for the entry's process.
+Latencies through the entry and directly to the stand-in engine are measured
+side by side and are comparable within one run only. The processor time that
+the kernel counts for the entry's process can be compared between runs.
 """
 
 from __future__ import annotations
@@ -67,14 +67,14 @@
 
 
 async def measure_latency(entry_url, engine) -> list[str]:
-    """First token through the entry and directly, in turns."""
+    """Measures the time to the first token, alternating between both paths."""
     through = histogram.HdrHistogram(1, 10_000_000, 3)
     direct = histogram.HdrHistogram(1, 10_000_000, 3)
     headers = {"Authorization": f"Bearer {processes.TOKENS['caller']}"}
     async with aiohttp.ClientSession() as session:
         for number in range(LATENCY_CALLS):
             body = make_body(number, 5, streamed=True)
-            own = {
+            run_request = {
                 "request_id": f"direct-{number}",
                 "attempt_id": f"direct-{number}.1",
                 "group": engine["group"],
@@ -85,15 +85,17 @@
                 "request": body,
             }
             url = f"http://{engine['address']}/v1/run"
-            direct_s = await time_first_token(session, url, {}, own)
+            direct_s = await time_first_token(session, url, {}, run_request)
             url = f"{entry_url}/v1/chat/completions"
             through_s = await time_first_token(session, url, headers, body)
             if number >= 20:
                 direct.record_value(int(direct_s * 1e6))
                 through.record_value(int(through_s * 1e6))
     lines = ["| first token | p50 ms | p99 ms |", "|---|---|---|"]
-    for name, found in (("direct", direct), ("through the entry", through)):
-        p50, p99 = (found.get_value_at_percentile(p) / 1000 for p in (50, 99))
+    for name, latencies in (("direct", direct), ("through the entry", through)):
+        p50, p99 = (
+            latencies.get_value_at_percentile(p) / 1000 for p in (50, 99)
+        )
         lines.append(f"| {name} | {p50:.2f} | {p99:.2f} |")
     added = [
         through.get_value_at_percentile(p) - direct.get_value_at_percentile(p)
@@ -110,7 +112,7 @@
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
 
-        async def work() -> None:
+        async def send_requests() -> None:
             for number in numbers:
                 body = make_body(number, tokens, streamed=True)
                 async with session.post(
@@ -119,11 +121,11 @@
                     text = await response.read()
                     assert text.endswith(b"data: [DONE]\n\n"), text[-200:]
 
-        await asyncio.gather(*(work() for _ in range(CONCURRENCY)))
+        await asyncio.gather(*(send_requests() for _ in range(CONCURRENCY)))
 
 
 def measure_processor(entry_url: str, pid: int) -> list[str]:
-    """Processor time of the entry for a request and for a token."""
+    """Measures the entry's processor time for a request and for a token."""
     costs = {}
     for tokens in (SHORT, LONG):
         asyncio.run(send_burst(entry_url, tokens, 40))
@@ -132,19 +134,19 @@
         costs[tokens] = (read_processor_s(pid) - before) / BURST_REQUESTS
     token_s = (costs[LONG] - costs[SHORT]) / (LONG - SHORT)
     request_s = costs[SHORT] - SHORT * token_s
-    need_s = 3500 / 360 * request_s + 1.4e6 / 360 * token_s
+    peak_s = 3500 / 360 * request_s + 1.4e6 / 360 * token_s
     return [
         "| entry | processor us | on one core |",
         "|---|---|---|",
         f"| a request | {request_s * 1e6:.0f} | {1 / request_s:.0f}/s |",
         f"| a streamed token | {token_s * 1e6:.1f} | {1 / token_s:.0f}/s |",
         "| peak of one of 360 entries (9.7 requests/s, 3,889 tokens/s) |"
-        f" {need_s * 1e6:.0f} a second | {100 * need_s:.0f} % of a core |",
+        f" {peak_s * 1e6:.0f} a second | {100 * peak_s:.0f} % of a core |",
     ]
 
 
 def measure_idle(deployment) -> list[str]:
-    """Resident memory and idle processor time of each role."""
+    """Measures resident memory and idle processor time of each role."""
     pids = {
         name: process.pid
         for name, process in deployment.processes.items()
@@ -154,21 +156,21 @@
     time.sleep(IDLE_S)
     lines = ["| role | resident MiB | idle % of a core |", "|---|---|---|"]
     status = deployment.get_status()
-    kinds = {
+    roles = {
         c["node"]: "holder" if c["is_holder"] else "control"
         for c in status["controls"]
     }
     leader = next(c["node"] for c in status["controls"] if c["is_leader"])
-    kinds[leader] = "leader"
-    found: dict[str, list[tuple[float, float]]] = {}
+    roles[leader] = "leader"
+    usage: dict[str, list[tuple[float, float]]] = {}
     for name, pid in pids.items():
-        kind = kinds.get(name, "entry")
+        role = roles.get(name, "entry")
         share = (read_processor_s(pid) - before[name]) / IDLE_S
-        found.setdefault(kind, []).append((read_resident_mib(pid), share))
-    for kind, values in sorted(found.items()):
+        usage.setdefault(role, []).append((read_resident_mib(pid), share))
+    for role, values in sorted(usage.items()):
         memory = max(value[0] for value in values)
         share = sum(value[1] for value in values) / len(values)
-        lines.append(f"| {kind} | {memory:.0f} | {100 * share:.2f} |")
+        lines.append(f"| {role} | {memory:.0f} | {100 * share:.2f} |")
     return lines
 
 
@@ -197,17 +199,17 @@
             )
             vm = deployment.vms[0]
             deployment_module.wait_until(lambda: deployment.is_ready(vm), "up")
-            idle = measure_idle(deployment)
+            idle_usage = measure_idle(deployment)
             groups = next(
                 c["groups"]
                 for c in deployment.get_status()["controls"]
                 if c["groups"]
             )
-            leading = groups[0]["vms"][0]
+            head = groups[0]["vms"][0]
             engine = {
                 "group": groups[0]["name"],
                 "generation": 1,
-                "address": f"{ip}:{port + int(leading[-3:])}",
+                "address": f"{ip}:{port + int(head[-3:])}",
             }
             latency = asyncio.run(measure_latency(vm.url, engine))
             pid = deployment.processes["hamilton/vm1/entry"].pid
@@ -215,7 +217,7 @@
             loaded = f"resident after load: {read_resident_mib(pid):.0f} MiB"
         finally:
             deployment.stop()
-    return "\n".join([*latency, "", *cost, "", *idle, "", loaded]) + "\n"
+    return "\n".join([*latency, "", *cost, "", *idle_usage, "", loaded]) + "\n"
 
 
 if __name__ == "__main__":
--- a/bench/notices.py
+++ b/bench/notices.py
@@ -1,6 +1,6 @@
-"""Measures what is remembered and told of servers that pause or leave.
+"""Measures messages, memory and time for servers that pause or leave.
 
-Run as `python bench/notices.py`; docs/CAPACITY.md has what it prints.
+Run as `python bench/notices.py`; docs/CAPACITY.md has the results.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from hickorylead.wire import codec
 
 GATEWAY = "waikato-1/front-hamilton-12/gateway"
-HOME = "waikato-1/core-hamilton-1/coordinator"
-# Replicas that a gateway chooses among: its zone's part of 600.
-WEIGHED = 120
-# Replicas that ask for a pause at the same time: a tenth of 600, and all.
+COORDINATOR = "waikato-1/core-hamilton-1/coordinator"
+# Replicas that a gateway chooses among: those of its zone, a fifth of 600.
+CANDIDATES = 120
+# Replicas that request a pause at the same time: a tenth of 600, and all.
 PAUSED = 60
 ALL = 600
 ROUNDS = 500
@@ -42,14 +42,14 @@
 
 
 def make_pauses(count: int) -> tuple[messages.Pause, ...]:
-    """Returns pauses as a node is told them."""
+    """Returns pauses as a node receives them."""
     replicas = map(make_replica, range(count))
     return tuple(messages.Pause(r.name, r.born, 3000) for r in replicas)
 
 
 def measure_size(message: messages.Message | fleet_messages.Message) -> int:
     """Returns the bytes of an encoded message."""
-    return len(codec.encode_envelope(codec.Envelope(HOME, "", message)))
+    return len(codec.encode_envelope(codec.Envelope(COORDINATOR, "", message)))
 
 
 def measure_time(action) -> float:
@@ -60,15 +60,15 @@
     return (time.process_time() - began) / ROUNDS * 1e6
 
 
-def make_book(count: int) -> notice_store_module.NoticeStore:
-    """Returns the book of a gateway that some replicas turned away."""
-    found = notice_store_module.NoticeStore()
+def make_store(count: int) -> notice_store_module.NoticeStore:
+    """Returns the notices of a gateway whose requests some replicas refused."""
+    store = notice_store_module.NoticeStore()
     head = model.ResponseHead(503, not_run=True, retry_after_s=3.0)
     for number in range(count):
-        found.record_response(
+        store.record_response(
             make_replica(number), head, sent_at=99.9, now=100.0
         )
-    return found
+    return store
 
 
 def print_sizes() -> None:
@@ -87,56 +87,62 @@
         born=leave.born,
     )
     for title, message in (
-        ("PauseNews, 1 pause", messages.PauseNews(HOME, make_pauses(1))),
-        ("PauseNews, 12", messages.PauseNews(HOME, make_pauses(12))),
-        (f"PauseNews, {ALL}", messages.PauseNews(HOME, make_pauses(ALL))),
+        ("PauseNews, 1 pause", messages.PauseNews(COORDINATOR, make_pauses(1))),
+        ("PauseNews, 12", messages.PauseNews(COORDINATOR, make_pauses(12))),
+        (
+            f"PauseNews, {ALL}",
+            messages.PauseNews(COORDINATOR, make_pauses(ALL)),
+        ),
         ("LeaveNews, 1 server", messages.LeaveNews(GATEWAY, (leave,))),
-        ("InstanceNews, 1", fleet_messages.InstanceNews(HOME, (instance,))),
+        (
+            "InstanceNews, 1",
+            fleet_messages.InstanceNews(COORDINATOR, (instance,)),
+        ),
     ):
         print(f"{title}: {measure_size(message)} B")
 
 
 def print_memory() -> None:
-    """Prints the memory of what a gateway and a coordinator keep."""
+    """Prints the memory that a gateway and a coordinator use for notices."""
     tracemalloc.start()
-    kept = make_book(ALL)
+    store = make_store(ALL)
     used, _ = tracemalloc.get_traced_memory()
-    print(f"gateway, {len(kept)} notices: {used / 1e6:.2f} MB")
-    known = pauses.Pauses()
+    print(f"gateway, {len(store)} notices: {used / 1e6:.2f} MB")
+    pause_table = pauses.Pauses()
     for pause in make_pauses(ALL):
-        known.merge(pause, 100.0)
-    both, _ = tracemalloc.get_traced_memory()
+        pause_table.merge(pause, 100.0)
+    with_pauses, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    print(f"coordinator, {ALL} pauses: {(both - used) / 1e6:.2f} MB")
+    print(f"coordinator, {ALL} pauses: {(with_pauses - used) / 1e6:.2f} MB")
 
 
 def print_times() -> None:
-    """Prints the processor time of a choice and of news."""
-    replicas = [make_replica(number) for number in range(WEIGHED)]
-    kept = make_book(PAUSED)
+    """Prints the processor time of a choice of replica and of an update."""
+    replicas = [make_replica(number) for number in range(CANDIDATES)]
+    store = make_store(PAUSED)
 
-    def look() -> None:
+    def check() -> None:
         for replica in replicas:
-            kept.is_leaving(replica, 101.0)
+            store.is_leaving(replica, 101.0)
         for replica in replicas:
-            kept.get_pause_remaining_s(replica, 101.0)
+            store.get_pause_remaining_s(replica, 101.0)
         for replica in replicas:
-            kept.is_likely_to_refuse(replica, 101.0, may_probe=True)
+            store.is_likely_to_refuse(replica, 101.0, may_probe=True)
 
-    print(f"choosing among {WEIGHED}: {measure_time(look):.0f} us more")
-    news = messages.PauseNews(HOME, make_pauses(12))
-    packed = codec.encode_envelope(codec.Envelope(HOME, "", news))
-    us = measure_time(lambda: codec.decode_envelope(packed))
+    print(f"choosing among {CANDIDATES}: {measure_time(check):.0f} us more")
+    update = messages.PauseNews(COORDINATOR, make_pauses(12))
+    encoded = codec.encode_envelope(codec.Envelope(COORDINATOR, "", update))
+    us = measure_time(lambda: codec.decode_envelope(encoded))
     print(f"decoding 12 pauses: {us:.0f} us")
 
-    def pass_on() -> None:
-        subject = pause_relay.PauseRelay(HOME)
-        subject.merge(news, is_forwarded=False, now=100.0)
-        subject.collect_messages(
-            gateways=[GATEWAY], coordinators=[HOME], now=100.0
+    def relay_update() -> None:
+        relay = pause_relay.PauseRelay(COORDINATOR)
+        relay.merge(update, is_forwarded=False, now=100.0)
+        relay.collect_messages(
+            gateways=[GATEWAY], coordinators=[COORDINATOR], now=100.0
         )
 
-    print(f"passing them on: {measure_time(pass_on):.0f} us")
+    print(f"relaying them: {measure_time(relay_update):.0f} us")
 
 
 def run() -> None:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,9 +1,10 @@
-"""Group downtime and stranded VMs over a month, in given time.
+"""Group downtime and stranded VMs over a month of simulated time.
 
 The real planner repairs a zone of 24 replicas of 8 VMs while VMs fail and
-restart and a rack goes dark, at the users' rates. Compared are settings of
-the trade, a plain policy that rebuilds whole groups, and the floor: detection
-and load for each failure that hits a replica, nothing else.
+restart and a rack loses power, at the users' rates. The benchmark compares
+settings of the planner's policy, a plain policy that rebuilds complete groups,
+and a lower bound ("floor"): detection and load time for each failure that hits
+a replica, nothing else.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 DAYS = 30
 REPLICAS, SIZE, DOMAIN = 24, 8, 32
 EXTRA_VMS = 16
-DETECT_S, LOAD_S, SWAP_S = 4.0, 180.0, 10.0
-PLAN_S = 1.0
-WAIT_S = 30.0
-# Of the users' 4,800 accelerators, one a VM, this zone has its part.
-PART = (REPLICAS * SIZE + EXTRA_VMS) / 4800
-FAILURES_A_DAY, RESTARTS_A_DAY = 15 * PART, 76 * PART
-FAILED_S, RESTARTED_S = 4 * 3600.0, 180.0
-RACK_EVERY_S, RACK_DARK_S = 20 * DAY_S, 2 * 3600.0
+DETECTION_S, LOAD_S, SWAP_S = 4.0, 180.0, 10.0
+PLAN_INTERVAL_S = 1.0
+MAX_STEP_S = 30.0
+# The share of the users' 4,800 accelerators (one per VM) in this zone.
+ZONE_SHARE = (REPLICAS * SIZE + EXTRA_VMS) / 4800
+FAILURES_PER_DAY, RESTARTS_PER_DAY = 15 * ZONE_SHARE, 76 * ZONE_SHARE
+FAILURE_DURATION_S, RESTART_DURATION_S = 4 * 3600.0, 180.0
+RACK_FAILURE_INTERVAL_S, RACK_OUTAGE_S = 20 * DAY_S, 2 * 3600.0
 
 
 class PlainPlanner(planner.Planner):
-    """Rebuilds the whole group whenever a member is lost."""
+    """Rebuilds the complete group whenever a member is lost."""
 
     def _repair(self, group):
         self._disband(group)
@@ -48,11 +49,11 @@
 
 @attrs.frozen
 class Setting:
-    """One way to run the zone."""
+    """A named planner policy that the benchmark compares."""
 
     name: str
     policy: planner.Policy
-    plain: bool = False
+    is_plain: bool = False
 
 
 SETTINGS = (
@@ -64,18 +65,18 @@
 )
 
 
-class Month:
-    """A zone over a month."""
+class ZoneSimulation:
+    """A simulated month of one zone."""
 
     def __init__(self, setting: Setting, seed: int) -> None:
-        kind = PlainPlanner if setting.plain else planner.Planner
-        self.planner = kind(zone="z", policy=setting.policy)
+        planner_type = PlainPlanner if setting.is_plain else planner.Planner
+        self.planner = planner_type(zone="z", policy=setting.policy)
         self.rng = random.Random(seed)
         self.now = 0.0
         self.members: dict[str, registry.Member] = {}
-        self.gone: dict[str, registry.Member] = {}
-        self.back_at: dict[str, float] = {}
-        self.hits = 0
+        self.lost: dict[str, registry.Member] = {}
+        self.returns_at: dict[str, float] = {}
+        self.group_failures = 0
         self.downtime_s = self.stranded_s = 0.0
         self._queue: list[tuple[float, int, Any]] = []
         self._order = itertools.count()
@@ -89,65 +90,65 @@
             )
             self.members[vm] = registry.Member(state, "e")
 
-    def at(self, delay_s: float, action: Any) -> None:
+    def call_later(self, delay_s: float, action: Any) -> None:
         item = (self.now + delay_s, next(self._order), action)
         heapq.heappush(self._queue, item)
 
     def run(self) -> None:
-        self._plan_for(LOAD_S * 3)
+        self._run_planner_for(LOAD_S * 3)
         self.downtime_s = self.stranded_s = 0.0
-        self._schedule(FAILURES_A_DAY, FAILED_S)
-        self._schedule(RESTARTS_A_DAY, RESTARTED_S)
-        self.at(RACK_EVERY_S / 2, self._darken_rack)
+        self._schedule_failures(FAILURES_PER_DAY, FAILURE_DURATION_S)
+        self._schedule_failures(RESTARTS_PER_DAY, RESTART_DURATION_S)
+        self.call_later(RACK_FAILURE_INTERVAL_S / 2, self._fail_rack)
         end = self.now + DAYS * DAY_S
         while self.now < end:
             due_s = max(0.0, self._queue[0][0] - self.now)
             if self.planner.is_settled():
-                self._pass(due_s)
+                self._advance(due_s)
             elif self.planner._pending:
-                self._pass(PLAN_S)
+                self._advance(PLAN_INTERVAL_S)
             else:
                 # Only time or an event can change anything here.
-                self._pass(min(due_s, WAIT_S))
+                self._advance(min(due_s, MAX_STEP_S))
             self._run_due()
             self._plan()
 
-    def _schedule(self, a_day: float, lasts_s: float) -> None:
+    def _schedule_failures(self, per_day: float, duration_s: float) -> None:
         def fail() -> None:
-            self.at(self.rng.expovariate(a_day) * DAY_S, fail)
-            vm = self.rng.choice(sorted([*self.members, *self.gone]))
-            self._lose(vm, lasts_s)
+            self.call_later(self.rng.expovariate(per_day) * DAY_S, fail)
+            vm = self.rng.choice(sorted([*self.members, *self.lost]))
+            self._fail_vm(vm, duration_s)
 
-        self.at(self.rng.expovariate(a_day) * DAY_S, fail)
+        self.call_later(self.rng.expovariate(per_day) * DAY_S, fail)
 
-    def _darken_rack(self) -> None:
-        self.at(RACK_EVERY_S, self._darken_rack)
+    def _fail_rack(self) -> None:
+        self.call_later(RACK_FAILURE_INTERVAL_S, self._fail_rack)
         domain = self.rng.choice(
             sorted({m.state.domain for m in self.members.values()})
         )
         for vm in [
             v for v, m in self.members.items() if m.state.domain == domain
         ]:
-            self._lose(vm, RACK_DARK_S)
+            self._fail_vm(vm, RACK_OUTAGE_S)
 
-    def _lose(self, vm: str, lasts_s: float) -> None:
+    def _fail_vm(self, vm: str, duration_s: float) -> None:
         member = self.members.get(vm)
         if member is None:
             return
         if member.state.group:
-            self.hits += 1
-        # The replica is down at once; the planner hears of it later.
-        self.at(DETECT_S, lambda: self._remove(vm))
-        self._set(vm, phase=announcements.PHASE_LOADING)
-        self.at(DETECT_S + lasts_s, lambda: self._return(vm))
+            self.group_failures += 1
+        # The replica is down at once; the planner detects it later.
+        self.call_later(DETECTION_S, lambda: self._remove(vm))
+        self._set_state(vm, phase=announcements.PHASE_LOADING)
+        self.call_later(DETECTION_S + duration_s, lambda: self._restore(vm))
 
     def _remove(self, vm: str) -> None:
         member = self.members.pop(vm, None)
         if member is not None:
-            self.gone[vm] = member
+            self.lost[vm] = member
 
-    def _return(self, vm: str) -> None:
-        member = self.gone.pop(vm, None)
+    def _restore(self, vm: str) -> None:
+        member = self.lost.pop(vm, None)
         if member is None:
             return
         state = attrs.evolve(
@@ -162,32 +163,32 @@
         )
         self.members[vm] = registry.Member(state, "e")
 
-    def _set(self, vm: str, **fields: Any) -> None:
+    def _set_state(self, vm: str, **fields: Any) -> None:
         member = self.members.get(vm)
         if member is not None:
             member.state = attrs.evolve(member.state, **fields)
 
     def _plan(self) -> None:
-        given = self.planner.plan(
+        issued = self.planner.plan(
             members=self.members,
             configuration=self.configuration,
             shares=self.configuration.list_shares("z"),
             fence=1,
             now=self.now,
         )
-        for give in given:
-            self._carry_out(give.order)
+        for effect in issued:
+            self._apply_order(effect.order)
 
-    def _carry_out(self, order: orders.Order) -> None:
+    def _apply_order(self, order: orders.Order) -> None:
         member = self.members[order.vm]
         match order:
             case orders.Release():
-                self._set(
+                self._set_state(
                     order.vm, phase=announcements.PHASE_IDLE, group="", size=0
                 )
             case orders.Assign():
-                holds = member.state.weights == order.weights
-                self._set(
+                has_weights = member.state.weights == order.weights
+                self._set_state(
                     order.vm,
                     phase=announcements.PHASE_LOADING,
                     group=order.group,
@@ -198,29 +199,31 @@
                 )
                 generation = order.generation
 
-                def finish() -> None:
+                def finish_loading() -> None:
                     found = self.members.get(order.vm)
                     if found and found.state.generation == generation:
-                        self._set(
+                        self._set_state(
                             order.vm,
                             phase=announcements.PHASE_READY,
                             weights=order.weights,
                         )
 
-                self.at(SWAP_S if holds else LOAD_S, finish)
+                self.call_later(
+                    SWAP_S if has_weights else LOAD_S, finish_loading
+                )
 
-    def _plan_for(self, seconds: float) -> None:
+    def _run_planner_for(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
             self._plan()
-            self._pass(PLAN_S)
+            self._advance(PLAN_INTERVAL_S)
             self._run_due()
 
     def _run_due(self) -> None:
         while self._queue and self._queue[0][0] <= self.now:
             heapq.heappop(self._queue)[2]()
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         serving = [
             g
             for g in self.planner.groups.values()
@@ -233,11 +236,15 @@
 
 
 def measure(setting: Setting, seed: int) -> tuple[float, float, float]:
-    """Returns downtime, stranded VM hours and the floor of the downtime."""
-    month = Month(setting, seed)
-    month.run()
-    floor_s = month.hits * (DETECT_S + LOAD_S)
-    return month.downtime_s / 3600, month.stranded_s / 3600, floor_s / 3600
+    """Returns downtime, stranded VM time and least downtime, in hours."""
+    simulation = ZoneSimulation(setting, seed)
+    simulation.run()
+    floor_s = simulation.group_failures * (DETECTION_S + LOAD_S)
+    return (
+        simulation.downtime_s / 3600,
+        simulation.stranded_s / 3600,
+        floor_s / 3600,
+    )
 
 
 def run(folder: pathlib.Path | None = None) -> str:
@@ -251,9 +258,11 @@
         found = {
             name: [
                 sum(values) / len(seeds)
-                for values in zip(*(job.result() for job in list_), strict=True)
+                for values in zip(
+                    *(job.result() for job in futures), strict=True
+                )
             ]
-            for name, list_ in jobs.items()
+            for name, futures in jobs.items()
         }
     lines = [
         "| setting | downtime, replica h | floor | stranded, VM h |"
@@ -261,12 +270,12 @@
         "|---|---|---|---|---|---|",
     ]
     for name, (down, stranded, floor) in found.items():
-        # One replica hour counts as its VMs' hours, so both are VM hours.
-        first = (3 * SIZE * down + stranded) / 4
-        second = (SIZE * down + 3 * stranded) / 4
+        # Downtime is converted from replica hours to VM hours before weighting.
+        kahikatea = (3 * SIZE * down + stranded) / 4
+        olomcso = (SIZE * down + 3 * stranded) / 4
         lines.append(
             f"| {name} | {down:.1f} | {floor:.1f} | {stranded:.0f} |"
-            f" {first:.0f} | {second:.0f} |"
+            f" {kahikatea:.0f} | {olomcso:.0f} |"
         )
     if folder is not None:
         draw({n: (v[0], v[1]) for n, v in found.items()}, folder)
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -1,8 +1,8 @@
 """Control costs at several sizes, from the real reducers and real frames.
 
-A whole deployment is built in one process, with given time. What each node
-sends is encoded by the real codec and counted; the processor time that each
-reducer takes is measured around the call.
+A complete deployment runs in one process, in simulated time. What each node
+sends is encoded by the real codec and counted; the processor time of each
+reducer is measured around the call.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 
     Attributes:
         zones: Availability zones.
-        entries: Entries in each.
-        replicas: Replicas in each.
+        entries: Entries in each zone.
+        replicas: Replicas in each zone.
         group_size: VMs of a replica.
     """
 
@@ -65,7 +65,7 @@
 
 @attrs.define
 class Cost:
-    """What one node spent in the measured time."""
+    """What one node sent, received and computed in the measured time."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -73,67 +73,68 @@
     processor_s: float = 0.0
 
 
-class CountingWorld(simulation_module.Simulation):
-    """A world that counts bytes and processor time of every node."""
+class CountingSimulation(simulation_module.Simulation):
+    """A simulation that counts bytes and processor time of every node."""
 
     def __init__(self, **options: Any) -> None:
         self.costs: dict[str, Cost] = collections.defaultdict(Cost)
-        self.kinds: collections.Counter[str] = collections.Counter()
-        self.counting = False
+        self.bytes_by_message: collections.Counter[str] = collections.Counter()
+        self.is_counting = False
         super().__init__(**options)
 
     def send(self, source: str, target: str, message: Any) -> None:
-        """Counts a message, then puts it on its way."""
-        if self.counting and source != target:
+        """Counts a message, then sends it."""
+        if self.is_counting and source != target:
             envelope = codec.Envelope(source, "10.0.0.10:7000", message)
             size = len(codec.encode_envelope(envelope)) + FRAME_OVERHEAD
             self.costs[source].sent_bytes += size
             self.costs[source].messages += 1
             self.costs[target].received_bytes += size
-            self.kinds[type(message).__name__] += size
+            self.bytes_by_message[type(message).__name__] += size
         super().send(source, target, message)
 
     def deliver(self, node: str, event: Any) -> None:
-        """Measures the reducer of a node."""
+        """Measures a node's reducer and applies its effects."""
         role = self.roles.get(node)
         if role is None:
             return
         start = time.process_time()
         effects = role.reduce(event, self.now)
-        if self.counting:
+        if self.is_counting:
             self.costs[node].processor_s += time.process_time() - start
         for effect in effects:
             self._carry_out(node, effect)
 
 
-def build(size: Size) -> CountingWorld:
-    """Returns a deployment that serves, before the measured time."""
+def build(size: Size) -> CountingSimulation:
+    """Returns a deployment that serves and has counted nothing yet."""
     zones = tuple(f"zone{z}" for z in range(size.zones))
-    world = CountingWorld(zones=zones, vms=size.entries)
+    simulation = CountingSimulation(zones=zones, vms=size.entries)
     for zone in zones:
         for number in range(size.replicas * size.group_size):
-            world.add_server(_make_member(zone, number, size.group_size))
-    operator_actions.bootstrap_cluster(world)
+            simulation.add_server(_make_member(zone, number, size.group_size))
+    operator_actions.bootstrap_cluster(simulation)
     service = model.Service(
         "assistant", model="lead", version="1", group_size=size.group_size
     )
-    operator_actions.apply(world, changes.ApplyService(service))
+    operator_actions.apply(simulation, changes.ApplyService(service))
     shares = tuple(model.Share("assistant", z, size.replicas) for z in zones)
     operator_actions.apply(
-        world, changes.ApplyPreset(model.Preset("p", shares))
+        simulation, changes.ApplyPreset(model.Preset("p", shares))
     )
-    operator_actions.apply(world, changes.SwitchPreset("p"))
-    world.run(12)
-    return world
+    operator_actions.apply(simulation, changes.SwitchPreset("p"))
+    simulation.run(12)
+    return simulation
 
 
 def _make_member(zone: str, number: int, size: int) -> servers.Server:
-    """Returns a server that belongs to a group already."""
+    """Returns a server that is already a member of a group."""
     server = servers.make_engine(zone, number, domain=f"{zone}-d{number // 64}")
     vm = f"{zone}-vm{number:05}"
     group = f"assistant/{zone}/1-{number // size}"
     if number % size == 0:
-        # A loaded table does not pack as well as an idle one.
+        # Cap'n Proto packs a table with varied loads less well than one of
+        # idle replicas.
         for request in range(1 + number % 7):
             server.batch.submit(batch.Work(f"r{request}", "d", 3, 1, 10**6))
     server.member.state = attrs.evolve(
@@ -153,27 +154,30 @@
 
 def measure(size: Size) -> dict[str, Any]:
     """Returns the costs of each role at one size, per node and second."""
-    world = build(size)
-    world.counting = True
-    world.run(MEASURED_S)
+    simulation = build(size)
+    simulation.is_counting = True
+    simulation.run(MEASURED_S)
     holders = {
         node
-        for zone in world.zones
-        for node in operator_actions.list_lease_holders(world, zone)
+        for zone in simulation.zones
+        for node in operator_actions.list_lease_holders(simulation, zone)
     }
-    leader = operator_actions.find_leader(world)
+    leader = operator_actions.find_leader(simulation)
     roles = {
-        "entry": list(world.entries),
-        "control": [n for n in world.controls if n not in holders],
+        "entry": list(simulation.entries),
+        "control": [n for n in simulation.controls if n not in holders],
         "holder": sorted(holders),
         "leader": [leader],
     }
-    serving = [operator_actions.count_replicas(world, n) for n in world.entries]
-    wanted = size.zones * size.replicas
-    assert min(serving) == wanted, (min(serving), wanted)
+    serving = [
+        operator_actions.count_replicas(simulation, n)
+        for n in simulation.entries
+    ]
+    expected = size.zones * size.replicas
+    assert min(serving) == expected, (min(serving), expected)
     result: dict[str, Any] = {"size": size}
     for role, names in roles.items():
-        costs = [world.costs[name] for name in names]
+        costs = [simulation.costs[name] for name in names]
         result[role] = {
             "sent": sum(c.sent_bytes for c in costs) / len(costs) / MEASURED_S,
             "received": sum(c.received_bytes for c in costs)
@@ -184,33 +188,43 @@
             / MEASURED_S,
             "core": sum(c.processor_s for c in costs) / len(costs) / MEASURED_S,
         }
-    result["kinds"] = world.kinds.most_common(4)
+    result["kinds"] = simulation.bytes_by_message.most_common(4)
     return result
 
 
 def measure_memory(members: int, group_size: int) -> dict[str, float]:
-    """Returns the bytes that the state of a holder and an entry takes."""
+    """Returns sizes in bytes of parts of a holder's and an entry's state."""
     gc.collect()
     tracemalloc.start()
-    found = registry.MembershipRegistry()
+    membership = registry.MembershipRegistry()
     for number in range(members):
         state = _make_member("zone0", number, group_size).state
-        found.members[state.vm] = registry.Member(state, "zone0/vm1/entry")
+        membership.members[state.vm] = registry.Member(state, "zone0/vm1/entry")
     registry_bytes = tracemalloc.get_traced_memory()[0]
     plan = planner.Planner(zone="zone0", policy=planner.Policy())
-    plan.adopt(found.members)
+    plan.adopt(membership.members)
     plan.plan(
-        members=found.members, configuration=None, shares=[], fence=1, now=0.0
+        members=membership.members,
+        configuration=None,
+        shares=[],
+        fence=1,
+        now=0.0,
     )
-    replicas = publisher.build_table(found.members, plan)
+    replicas = publisher.build_table(membership.members, plan)
     holder_bytes = tracemalloc.get_traced_memory()[0]
-    known = table.ReplicaTable()
-    update = publisher.Publisher(zone="zone0")
-    update.publish(
-        replicas=replicas, members=found.members, listeners=[], fence=1, now=0.0
+    replica_table = table.ReplicaTable()
+    table_publisher = publisher.Publisher(zone="zone0")
+    table_publisher.publish(
+        replicas=replicas,
+        members=membership.members,
+        listeners=[],
+        fence=1,
+        now=0.0,
+    )
+    replica_table.apply_update(
+        table_publisher.make_full_update(membership.members), 0.0
     )
-    known.apply_update(update.make_full_update(found.members), 0.0)
-    known.list_replicas("assistant")
+    replica_table.list_replicas("assistant")
     table_bytes = tracemalloc.get_traced_memory()[0] - holder_bytes
     before = tracemalloc.get_traced_memory()[0]
     claims = claim_holder.ClaimHolder(node="zone0/vm1/control", started_at=0.0)
@@ -220,11 +234,11 @@
             "zone0/vm1/entry", key, f"zone0.vm1.{number:x}", "f" * 32, 1e6, 1e6
         )
         claims.receive(request, 1e6)
-        answer = claim_messages.FinalAnswer(
+        response = claim_messages.FinalAnswer(
             "ran", 200, "text/plain", b"x" * 100
         )
         claims.receive(
-            claim_messages.ClaimFinish(key, request.owner, answer), 1e6
+            claim_messages.ClaimFinish(key, request.owner, response), 1e6
         )
     assert len(claims) == CLAIMS
     claim_bytes = tracemalloc.get_traced_memory()[0] - before
@@ -246,16 +260,16 @@
         "|---|---|---|---|---|---|---|---|---|",
     ]
     for size in SIZES:
-        found = measure(size)
+        costs = measure(size)
         for role in ("entry", "control", "holder", "leader"):
-            cost = found[role]
+            cost = costs[role]
             lines.append(
                 f"| {size.zones} | {size.zones * size.entries} |"
                 f" {size.zones * size.replicas} | {size.group_size} | {role} |"
                 f" {cost['sent']:.0f} | {cost['received']:.0f} |"
                 f" {cost['messages']:.1f} | {100 * cost['core']:.2f} |"
             )
-        sys.stderr.write(f"{size}: {found['kinds']}\n")
+        sys.stderr.write(f"{size}: {costs['kinds']}\n")
     lines += ["", "| state | 500 servers | 3,840 servers |", "|---|---|---|"]
     small, large = measure_memory(500, 8), measure_memory(3840, 32)
     lines += [
--- a/tests/runtime/callers.feature
+++ b/tests/runtime/callers.feature
@@ -1,25 +1,25 @@
-Feature: The way to a caller
+Feature: Connections to callers
 
-  Scenario: Pieces for a caller that reads slowly keep their order
-    A connection takes no more bytes. The task that sends waits with a piece in
-    its hands; then the connection takes bytes again, and the next piece comes
-    before the task has had its turn. Written at once it would overtake.
-    Given a caller whose connection takes nothing after the first piece
-    When two more pieces come, one before and one after it takes bytes again
-    Then the caller gets all pieces in order
+  Scenario: Chunks for a caller that reads slowly keep their order
+    A connection is full, so the sending task waits with a chunk. The connection
+    becomes writable and the next chunk arrives before the task runs again.
+    If that chunk were written at once, it would overtake the waiting one.
+    Given a caller whose connection is full after the first chunk
+    When two more chunks arrive, one before and one after it is writable again
+    Then the caller receives all chunks in order
 
-  Scenario: An answer that cannot be written ends alone
-    A replica's header has a byte that the HTTP server refuses to write. Pieces
-    are written within the turn of the reducer; an error raised there would end
-    that turn, and other callers would miss their effects.
-    Given a caller whose connection refuses the head of an answer
-    When the answer comes
-    Then nothing is raised, the answer ends broken, and the log tells why
+  Scenario: A response that cannot be written affects no other response
+    A replica's header has a byte that the HTTP server refuses to write. Chunks
+    are written while the reducer's effects are applied; an exception there
+    would skip the remaining effects, also those for other callers.
+    Given a caller whose connection refuses the head of a response
+    When the response arrives
+    Then nothing is raised, the response is aborted, and the reason is logged
 
-  Scenario: A caller that comes while the program is loaded waits for it
-    All gateways lose power and start again. Their ports are open at once, a
-    second before the rest is loaded. A caller that connects meanwhile is
-    answered then; turned away, it would spend its only other try in that time.
+  Scenario: A caller that connects while a gateway starts waits for it
+    All gateways lose power and restart. Each opens its port at once, a second
+    before the rest is loaded. A caller that connects in that second is served
+    afterwards; if refused, it would use up its only other attempt.
     Given a port that was opened before anything else
-    When a request comes and the listener starts after it
-    Then it is answered with status 200
+    When a request is sent and the listener starts after it
+    Then the response has status 200
--- a/tests/runtime/disk.feature
+++ b/tests/runtime/disk.feature
@@ -1,18 +1,18 @@
-Feature: A process that cannot go on ends
+Feature: A process that cannot continue exits
 
   Scenario: A voter whose disk fails acknowledges nothing more
-    The disk refuses a write. What the voter holds in memory is not on disk;
-    if it went on it could acknowledge a change that its restart takes back.
-    It sends nothing more and ends with the exit code of the data folder.
+    The disk refuses a write, so the voter's state in memory is not on disk. If
+    it continued, it could acknowledge a change that is lost when it restarts.
+    It sends nothing more and exits with the code for data folder errors.
     Given a voter whose disk refuses the next write
-    When it is asked for its vote
-    Then no vote leaves and the process ends with exit code 6
-    And it answers nothing that comes after
+    When a vote is requested from it
+    Then no vote is sent and the process ends with exit code 6
+    And it replies to no later message
 
-  Scenario: A process whose clock has stopped ends
-    The task that gives a process its time fails. The process would still
-    answer, but renew nothing and time out nothing; it ends with the error,
-    so that others notice.
+  Scenario: A process whose ticks have stopped exits
+    The task that delivers ticks to the reducer fails. The process would still
+    reply to messages, but renew no lease and detect no timeout. It exits with
+    the error, so that other processes detect the failure.
     Given a voter whose disk refuses the next write
     When its reducer fails on the next tick
-    Then the process ends with that failure
+    Then the process ends with that error
--- a/tests/runtime/interfaces.feature
+++ b/tests/runtime/interfaces.feature
@@ -1,13 +1,12 @@
 @processes
 Feature: The published interfaces, by real processes
 
-  Scenario Outline: Bad input gets a clear problem and ends nothing
-    A caller, a server or an operator sends what cannot be taken. The answer
-    is problem+json with a stable code and the verdict not_run, and the entry
-    goes on.
+  Scenario Outline: Invalid input is refused and the entry keeps running
+    A caller, a server or an operator sends invalid input. The response is
+    problem+json with a stable code and the verdict not_run.
     When "<method> <path>" is sent with token "<token>", headers "<headers>" and body "<body>"
     Then the problem is <status> "<code>" with verdict not_run
-    And the entry still answers
+    And the entry still serves requests
 
     Examples:
       | method | path | token | headers | body | status | code |
@@ -37,30 +36,30 @@
       | POST | /admin/changes | operator | | {"operation":{"kind":"burn"}} | 400 | bad_change |
       | GET | /admin/requests/none | operator | | | 404 | unknown_request |
 
-  Scenario: Garbage between processes ends nothing
-    Random bytes and damaged frames come on the ports that the system's own
+  Scenario: Malformed data on peer ports does not end a process
+    Random bytes and damaged frames arrive on the ports that the system's own
     processes use. The connection is closed and nothing else happens.
-    When garbage is sent to the peer ports of an entry and a control process
-    Then the entry still answers
+    When malformed data is sent to the peer ports of an entry and a control process
+    Then the entry still serves requests
 
   Scenario: Health, readiness and metrics
-    Then the entry tells its health, its readiness and its metrics
-    And a control process tells group downtime and stranded accelerators
+    Then the entry reports its health, its readiness and its metrics
+    And a control process reports group downtime and stranded accelerators
 
   Scenario: Status is a table for people and JSON for programs
     Then status prints a table, and with --json the same as JSON
 
-  Scenario: Each role is one process
-    Then each role is one process with one thread and has no child
+  Scenario: Each role runs as one process
+    Then each role runs as one process with one thread and no child
 
   Scenario: Logs are JSON lines with the fields that operators search for
     Then each log line is JSON with time, level, role, zone, vm and version
 
-  Scenario: Explain shows attempts and replicas weighed, through any entry
-    A request went through one entry; the operator asks another one, in
-    another zone, what happened to it.
-    When a request is answered and another entry is asked to explain it
-    Then the explanation names the replica, what was weighed and the verdict
+  Scenario: Explain shows attempts and scored replicas, through any entry
+    A request was served through one entry; the operator requests its
+    explanation from another one, in another zone.
+    When a request is served and another entry is queried to explain it
+    Then the explanation names the replica, the candidates and the verdict
 
   Scenario: Spans of one request carry the caller's trace
-    Then a tracer that exports gives one span for each hop of a trace
+    Then a tracer exports one span for each hop of a trace
--- a/tests/runtime/links.feature
+++ b/tests/runtime/links.feature
@@ -1,15 +1,15 @@
 Feature: Connections between the system's processes
 
-  Scenario: A connection that went silent in one direction is replaced
-    Something between two processes has lost track of a connection: what is
-    sent vanishes without any error, while new connections work. Nothing is
-    acknowledged, so the sender opens a new one within the time for that.
-    Given a peer whose first connection swallows everything
-    When messages are sent to it for as long as it takes
+  Scenario: A connection that loses all that is sent on it is replaced
+    A middlebox between two processes drops the state of a connection: what is
+    sent on it is lost without an error, while new connections work. As no
+    acknowledgement arrives in time, the sender opens a new connection.
+    Given a peer that ignores all data on its first connection
+    When messages are sent to it until one arrives
     Then they arrive over a second connection
 
-  Scenario: A peer that is away does not fill the memory
-    A node is gone for long while messages for it are made. The newest are
-    kept up to a bound; what is dropped is repeated by the protocols above.
-    When 5000 messages are sent to a peer that is away
-    Then at most 2000 of them wait
+  Scenario: Messages for an unreachable peer use bounded memory
+    A node is unreachable for long while messages to it are queued. Only the
+    newest are kept, up to a limit; the protocols above resend dropped ones.
+    When 5000 messages are sent to an unreachable peer
+    Then at most 2000 of them are queued
--- a/tests/steps/caller_steps.py
+++ b/tests/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the way to one caller."""
+"""Steps about connections to callers."""
 
 from __future__ import annotations
 
@@ -11,63 +11,63 @@
 
 
 class SlowConnection:
-    """A connection that can stop taking bytes, and what was sent on it."""
+    """A connection that can become full, and the messages sent on it."""
 
     def __init__(self):
         self.sent = []
-        self.free = asyncio.Event()
-        self.free.set()
+        self.writable = asyncio.Event()
+        self.writable.set()
 
     def can_write(self):
-        """Says whether it takes bytes."""
-        return self.free.is_set()
+        """Returns whether the connection is writable."""
+        return self.writable.is_set()
 
     async def send(self, message):
-        """Takes a message, once it takes bytes."""
-        if not self.free.is_set():
-            await self.free.wait()
+        """Records a message once the connection is writable."""
+        if not self.writable.is_set():
+            await self.writable.wait()
         self.sent.append(message)
 
 
-@given("a caller whose connection takes nothing after the first piece")
+@given("a caller whose connection is full after the first chunk")
 def _(context):
-    context.pieces = [b"one", b"two", b"three"]
+    context.chunks = [b"one", b"two", b"three"]
 
 
-@when("two more pieces come, one before and one after it takes bytes again")
+@when("two more chunks arrive, one before and one after it is writable again")
 def _(context):
-    async def play():
+    async def run():
         connection = SlowConnection()
         scope = {
             "extensions": {listener.CONNECTION_KEY: {"protocol": connection}}
         }
-        caller = forwarding.ResponseWriter(scope, connection.send, print)
-        task = asyncio.ensure_future(caller.run())
-        caller.write(events.StartResponse("r", 200, ()))
-        caller.write(events.WriteChunk("r", context.pieces[0]))
+        writer = forwarding.ResponseWriter(scope, connection.send, print)
+        task = asyncio.ensure_future(writer.run())
+        writer.write(events.StartResponse("r", 200, ()))
+        writer.write(events.WriteChunk("r", context.chunks[0]))
         assert len(connection.sent) == 2, "the first is written at once"
-        connection.free.clear()
-        caller.write(events.WriteChunk("r", context.pieces[1]))
+        connection.writable.clear()
+        writer.write(events.WriteChunk("r", context.chunks[1]))
         for _ in range(3):
             await asyncio.sleep(0)
-        connection.free.set()
-        caller.write(events.WriteChunk("r", context.pieces[2]))
-        caller.write(events.FinishResponse("r"))
+        connection.writable.set()
+        writer.write(events.WriteChunk("r", context.chunks[2]))
+        writer.write(events.FinishResponse("r"))
         await task
         return connection.sent
 
-    context.sent = asyncio.run(play())
+    context.sent = asyncio.run(run())
 
 
-@then("the caller gets all pieces in order")
+@then("the caller receives all chunks in order")
 def _(context):
     start, *bodies = context.sent
     assert start["type"] == "http.response.start"
-    assert [b["body"] for b in bodies] == [*context.pieces, b""]
+    assert [b["body"] for b in bodies] == [*context.chunks, b""]
     assert [b["more_body"] for b in bodies] == [True, True, True, False]
 
 
-@given("a caller whose connection refuses the head of an answer")
+@given("a caller whose connection refuses the head of a response")
 def _(context):
     async def refuse(message):
         raise RuntimeError(f"invalid header in {message['type']}")
@@ -75,72 +75,72 @@
     context.refuse = refuse
 
 
-@when("the answer comes")
+@when("the response arrives")
 def _(context):
-    context.lines = []
+    context.notes = []
 
-    async def play():
+    async def run():
         scope = {
             "extensions": {
                 listener.CONNECTION_KEY: {"protocol": SlowConnection()}
             }
         }
-        caller = forwarding.ResponseWriter(
-            scope, context.refuse, context.lines.append
+        writer = forwarding.ResponseWriter(
+            scope, context.refuse, context.notes.append
         )
-        task = asyncio.ensure_future(caller.run())
-        caller.write(events.StartResponse("r", 200, ((b"x", b"\x7f"),)))
-        caller.write(events.WriteChunk("r", b"piece"))
+        task = asyncio.ensure_future(writer.run())
+        writer.write(events.StartResponse("r", 200, ((b"x", b"\x7f"),)))
+        writer.write(events.WriteChunk("r", b"piece"))
         async with asyncio.timeout(5):
-            context.refusal = await task
-        context.caller = caller
+            context.result = await task
+        context.writer = writer
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@then("nothing is raised, the answer ends broken, and the log tells why")
+@then("nothing is raised, the response is aborted, and the reason is logged")
 def _(context):
-    assert context.caller.has_failed
-    assert context.refusal is None
-    assert [line.event for line in context.lines] == ["answer_not_sent"]
-    assert "invalid header" in context.lines[0].fields["why"]
+    assert context.writer.has_failed
+    assert context.result is None
+    assert [note.event for note in context.notes] == ["answer_not_sent"]
+    assert "invalid header" in context.notes[0].fields["why"]
 
 
 @given("a port that was opened before anything else")
 def _(context):
-    context.opened = sockets.listen("127.0.0.1", 0)
+    context.listening_socket = sockets.listen("127.0.0.1", 0)
 
 
-async def answer(scope, receive, send):
-    """An application that says yes."""
+async def respond(scope, receive, send):
+    """ASGI application that responds "yes" to each request."""
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b"yes"})
 
 
-@when("a request comes and the listener starts after it")
+@when("a request is sent and the listener starts after it")
 def _(context):
-    ip, port = context.opened.getsockname()
+    ip, port = context.listening_socket.getsockname()
 
-    async def play():
+    async def run():
         reader, writer = await asyncio.open_connection(ip, port)
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         await writer.drain()
-        subject = listener.Listener(
-            answer,
+        server = listener.Listener(
+            respond,
             ip,
             port,
             listener.ListenerLimits(),
-            listening_socket=context.opened,
+            listening_socket=context.listening_socket,
         )
-        await subject.start()
+        await server.start()
         async with asyncio.timeout(5):
-            context.line = await reader.readline()
+            context.status_line = await reader.readline()
         writer.close()
-        await subject.close()
+        await server.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@then("it is answered with status 200")
+@then("the response has status 200")
 def _(context):
-    assert context.line.split()[1] == b"200", context.line
+    assert context.status_line.split()[1] == b"200", context.status_line
--- a/tests/steps/disk_steps.py
+++ b/tests/steps/disk_steps.py
@@ -28,24 +28,26 @@
 
 @given("a voter whose disk refuses the next write")
 def _(context):
-    keep = tempfile.TemporaryDirectory()
-    context.add_cleanup(keep.cleanup)
-    flags = {**FLAGS, "data_folder": str(pathlib.Path(keep.name) / "data")}
+    folder = tempfile.TemporaryDirectory()
+    context.add_cleanup(folder.cleanup)
+    flags = {**FLAGS, "data_folder": str(pathlib.Path(folder.name) / "data")}
     settings = options.read_settings(roles.CONTROL_OPTIONS, flags, {})
-    context.shell = control.ControlProcess(settings)
-    context.shell._peers = context.peers = mock.Mock()
-    context.shell._peers.start = context.shell._peers.close = mock.AsyncMock()
-    context.shell._folder._journal.append = mock.Mock(
+    context.process = control.ControlProcess(settings)
+    context.process._peers = context.peers = mock.Mock()
+    context.process._peers.start = context.process._peers.close = (
+        mock.AsyncMock()
+    )
+    context.process._folder._journal.append = mock.Mock(
         side_effect=OSError(28, "No space left on device")
     )
 
 
-def ask(context):
-    voter = context.shell.role.voter
+def request_vote(context):
+    voter = context.process.role.voter
     request = messages.VoteRequest(
         "c", voter.member, "y/vm1/control#a", 1, 0, 0, trial=False
     )
-    context.shell._receive("y/vm1/control", request)
+    context.process._receive("y/vm1/control", request)
 
 
 def run(context):
@@ -53,15 +55,15 @@
     with mock.patch.object(
         control.server_module, "HttpServer", return_value=server
     ):
-        asyncio.run(asyncio.wait_for(context.shell.run(), LIMIT_S))
+        asyncio.run(asyncio.wait_for(context.process.run(), LIMIT_S))
 
 
-@when("it is asked for its vote")
+@when("a vote is requested from it")
 def _(context):
-    ask(context)
+    request_vote(context)
 
 
-@then("no vote leaves and the process ends with exit code {code:d}")
+@then("no vote is sent and the process ends with exit code {code:d}")
 def _(context, code):
     context.peers.send.assert_not_called()
     try:
@@ -69,27 +71,27 @@
     except errors.DataFolderError as error:
         assert error.exit_code == code and "No space" in str(error)
         return
-    raise AssertionError("it went on")
+    raise AssertionError("the process did not end")
 
 
-@then("it answers nothing that comes after")
+@then("it replies to no later message")
 def _(context):
-    ask(context)
-    context.shell.apply(interface.Tick(0.0))
+    request_vote(context)
+    context.process.apply(interface.Tick(0.0))
     context.peers.send.assert_not_called()
 
 
 @when("its reducer fails on the next tick")
 def _(context):
-    context.shell.role = mock.Mock()
-    context.shell.role.reduce.side_effect = RuntimeError("a fault")
+    context.process.role = mock.Mock()
+    context.process.role.reduce.side_effect = RuntimeError("a fault")
 
 
-@then("the process ends with that failure")
+@then("the process ends with that error")
 def _(context):
     try:
         run(context)
     except RuntimeError as error:
         assert str(error) == "a fault"
         return
-    raise AssertionError("it went on")
+    raise AssertionError("the process did not end")
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -15,7 +15,7 @@
 import deployment as deployment_module
 from support import processes
 
-wait = deployment_module.wait_until
+wait_until = deployment_module.wait_until
 
 
 def list_controls(context, vm=None):
@@ -50,10 +50,10 @@
 def _(context):
     leader = next(c["node"] for c in list_controls(context) if c["is_leader"])
     holders = [
-        wait(lambda z=zone: find_holder(context, z), "a holder")
+        wait_until(lambda z=zone: find_holder(context, z), "a holder")
         for zone in context.deployment.zones
     ]
-    # Two voters of three must be left, or no change could be accepted.
+    # Two of the three voters must keep running, or no change is accepted.
     holder = next((h for h in holders if "/vm1/" not in h), None)
     context.killed = []
     kill(context, leader)
@@ -72,11 +72,11 @@
 def _(context):
     deployment = context.deployment
 
-    def change():
+    def is_change_accepted():
         code, _, _ = deployment.try_operate("drain", f"vm-{time.time()}")
         return code == 0
 
-    wait(change, "a change is accepted")
+    wait_until(is_change_accepted, "a change is accepted")
 
 
 @when("the killed processes are started again")
@@ -90,7 +90,7 @@
 def _(context):
     deployment = context.deployment
 
-    def follows():
+    def has_newest():
         status = deployment.get_status()
         newest = max(c["version"] for c in status["controls"])
         return (
@@ -102,18 +102,18 @@
             )
         )
 
-    wait(follows, "all follow the newest version")
+    wait_until(has_newest, "all processes follow the newest version")
     processes.wait_until_serving(deployment)
 
 
 @when("a zone's lease holder is frozen until another one holds the lease")
 def _(context):
     context.zone = context.deployment.zones[1]
-    context.frozen = wait(
+    context.frozen = wait_until(
         lambda: find_holder(context, context.zone), "a holder"
     )
     context.deployment.signal(context.frozen, signal.SIGSTOP)
-    wait(
+    wait_until(
         lambda: (
             find_holder(context, context.zone) not in (None, context.frozen)
         ),
@@ -121,7 +121,7 @@
     )
 
 
-@when("it goes on")
+@when("it resumes")
 def _(context):
     context.deployment.signal(context.frozen, signal.SIGCONT)
 
@@ -129,9 +129,9 @@
 @then("one process holds the lease of that zone and all replicas serve")
 def _(context):
     deployment = context.deployment
-    wait(
+    wait_until(
         lambda: len(list_controls(context)) == len(deployment.vms),
-        "all answer again",
+        "all control processes respond again",
     )
     holders = [
         c["node"]
@@ -167,7 +167,7 @@
         target=lambda: try_order(context, vm), daemon=True
     )
     caller.start()
-    wait(
+    wait_until(
         lambda: context.key in {run["key"] for run in list_runs(context)},
         "the order runs",
     )
@@ -178,12 +178,12 @@
 
 
 def try_order(context, vm):
-    # The connection breaks with the entry; that is the point.
+    # The entry is killed meanwhile, which breaks the connection.
     with contextlib.suppress(OSError):
         submit_order(context, vm, context.key)
 
 
-@then("a resend elsewhere is told may_have_run and the service ran it once")
+@then("a resend through another entry gets may_have_run and the order ran once")
 def _(context):
     response = submit_order(context, context.deployment.vms[0], context.key)
     assert response.status == 409, response.body
@@ -193,7 +193,7 @@
     assert len(runs) == 1, runs
 
 
-@when("an entry is asked to stop while a stream runs")
+@when("an entry gets SIGTERM while a stream runs")
 def _(context):
     vm = context.deployment.vms[-1]
     body = {**processes.CHAT, "max_tokens": 300, "stream": True}
@@ -205,7 +205,7 @@
     caller = threading.Thread(target=stream, daemon=True)
     caller.start()
     name = f"{vm.zone}/{vm.name}/entry"
-    wait(lambda: count_open(context, vm) > 0, "the stream runs")
+    wait_until(lambda: count_open_requests(context, vm) > 0, "the stream runs")
     context.deployment.signal(name, signal.SIGTERM)
     caller.join(timeout=30)
     context.stream = found["response"].body.decode()
@@ -213,23 +213,23 @@
     context.killed = [name]
 
 
-def count_open(context, vm):
+def count_open_requests(context, vm):
     text = deployment_module.call("GET", f"{vm.url}/metrics").body.decode()
     found = re.search(r"hickorylead_open_requests (\d+)", text)
     return int(found.group(1)) if found else 0
 
 
-@then("the stream is whole and the process ends by itself")
+@then("the stream is complete and the process ends by itself")
 def _(context):
     events = [
         json.loads(line[6:])
         for line in context.stream.splitlines()
         if line.startswith("data: {")
     ]
-    pieces = [
+    chunks = [
         e["choices"][0]["delta"].get("content") for e in events if e["choices"]
     ]
-    numbers = [int(p.split(".")[1]) for p in pieces if p]
+    numbers = [int(c.split(".")[1]) for c in chunks if c]
     assert numbers == list(range(300)), numbers[-3:]
     assert context.stream.rstrip().endswith("data: [DONE]")
     assert context.process.wait(timeout=20) == 0
@@ -257,7 +257,7 @@
     context.process = deployment.processes["wrong-folder"]
 
 
-@then("it ends with exit code 6 and says whose folder it is")
+@then("it ends with exit code 6 and logs the owner of the folder")
 def _(context):
     assert context.process.wait(timeout=20) == 6
     text = (context.deployment.folder / "wrong-folder.log").read_text()
--- a/tests/steps/interface_steps.py
+++ b/tests/steps/interface_steps.py
@@ -58,7 +58,7 @@
     assert found["verdict"] == "not_run" and found["detail"], found
 
 
-@then("the entry still answers")
+@then("the entry still serves requests")
 def _(context):
     vm = context.deployment.vms[0]
     response = processes.send_chat(vm)
@@ -66,19 +66,27 @@
     assert response.load()["usage"]["completion_tokens"] == 5
 
 
-@when("garbage is sent to the peer ports of an entry and a control process")
+@when(
+    "malformed data is sent to the peer ports of an entry and a control process"
+)
 def _(context):
     vm = context.deployment.vms[0]
     rng = random.Random(5)
     for port in (vm.entry_peer_port, vm.control_peer_port):
         for size in (1, 4, 100, 70_000):
-            with socket.create_connection((vm.ip, port), timeout=5) as wire:
-                wire.sendall(rng.randbytes(size))
-            with socket.create_connection((vm.ip, port), timeout=5) as wire:
-                wire.sendall(size.to_bytes(4, "big") + rng.randbytes(size))
-
-
-@then("the entry tells its health, its readiness and its metrics")
+            with socket.create_connection(
+                (vm.ip, port), timeout=5
+            ) as connection:
+                connection.sendall(rng.randbytes(size))
+            with socket.create_connection(
+                (vm.ip, port), timeout=5
+            ) as connection:
+                connection.sendall(
+                    size.to_bytes(4, "big") + rng.randbytes(size)
+                )
+
+
+@then("the entry reports its health, its readiness and its metrics")
 def _(context):
     url = context.deployment.vms[0].url
     assert deployment_module.call("GET", f"{url}/healthz").status == 200
@@ -96,7 +104,7 @@
         assert name in text, (name, text)
 
 
-@then("a control process tells group downtime and stranded accelerators")
+@then("a control process reports group downtime and stranded accelerators")
 def _(context):
     vm = context.deployment.vms[0]
     url = f"http://{vm.ip}:{vm.control_http_port}/metrics"
@@ -109,7 +117,7 @@
         assert name in text, (name, text)
 
 
-@then("each role is one process with one thread and has no child")
+@then("each role runs as one process with one thread and no child")
 def _(context):
     for name, process in context.deployment.processes.items():
         if not name.endswith(("/entry", "/control")):
@@ -131,11 +139,11 @@
         found = json.loads(line)
         for field in ("time", "level", "role", "zone", "vm", "version"):
             assert field in found, (field, line)
-    ended = [json.loads(li) for li in lines if "request ended" in li]
+    ended = [json.loads(line) for line in lines if "request ended" in line]
     assert ended and all(e["request_id"] and e["verdict"] for e in ended)
 
 
-@when("a request is answered and another entry is asked to explain it")
+@when("a request is served and another entry is queried to explain it")
 def _(context):
     deployment = context.deployment
     response = processes.send_chat(deployment.vms[0])
@@ -145,19 +153,19 @@
     )
 
 
-@then("the explanation names the replica, what was weighed and the verdict")
+@then("the explanation names the replica, the candidates and the verdict")
 def _(context):
     for text in ("attempt", "assistant/hamilton/", "weighed", "ran"):
         assert text in context.explanation, (text, context.explanation)
 
 
-@then("a tracer that exports gives one span for each hop of a trace")
+@then("a tracer exports one span for each hop of a trace")
 def _(_):
-    trace = "0af7651916cd43dd8448eb211c80319c"
+    trace_id = "0af7651916cd43dd8448eb211c80319c"
     tracer = traces.make_tracer("http://127.0.0.1:1", {"zone": "hamilton"})
-    entry = tracer.start("entry", f"00-{trace}-b7ad6b7169203331-01")
+    entry = tracer.start("entry", f"00-{trace_id}-b7ad6b7169203331-01")
     attempt = tracer.start("attempt", entry.traceparent)
-    assert trace in attempt.traceparent
+    assert trace_id in attempt.traceparent
     assert entry.traceparent != attempt.traceparent
     attempt.end()
     entry.end()
@@ -168,7 +176,7 @@
     )
     spans = sent.resource_spans[0].scope_spans[0].spans
     assert [s.name for s in spans] == ["attempt", "entry"]
-    assert {s.trace_id.hex() for s in spans} == {trace}
+    assert {s.trace_id.hex() for s in spans} == {trace_id}
     assert spans[0].parent_span_id == spans[1].span_id
     assert not tracer.drain_batch()
 
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -11,11 +11,11 @@
 from hickorylead.runtime import peers
 from hickorylead.wire import codec, frame
 
-LIMIT_S = 20
+TIMEOUT_S = 20
 
 
-class Swallowing:
-    """A peer that never acknowledges on its first connection."""
+class IgnoringPeer:
+    """A peer that ignores all data on its first connection."""
 
     def __init__(self):
         self.connections = 0
@@ -48,18 +48,18 @@
     return messages.ConfigurationRequest("z/vm1/entry", number)
 
 
-@given("a peer whose first connection swallows everything")
+@given("a peer that ignores all data on its first connection")
 def _(context):
-    context.peer = Swallowing()
+    context.peer = IgnoringPeer()
 
 
-@when("messages are sent to it for as long as it takes")
+@when("messages are sent to it until one arrives")
 def _(context):
     async def run():
         server = await asyncio.start_server(context.peer.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         links = make_peers(f"127.0.0.1:{port}")
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             number = 0
             while not context.peer.received:
                 number += 1
@@ -79,18 +79,18 @@
     assert isinstance(first, messages.ConfigurationRequest)
 
 
-@when("{count:d} messages are sent to a peer that is away")
+@when("{count:d} messages are sent to an unreachable peer")
 def _(context, count):
     async def run():
         links = make_peers("127.0.0.1:9")
         for number in range(count):
             links.send("z/vm1/control", make_message(number))
-        context.waiting = len(links._links["z/vm1/control"].queue)
+        context.queued = len(links._links["z/vm1/control"].queue)
         await links.close()
 
     asyncio.run(run())
 
 
-@then("at most {count:d} of them wait")
+@then("at most {count:d} of them are queued")
 def _(context, count):
-    assert 0 < context.waiting <= count
+    assert 0 < context.queued <= count
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -26,23 +26,23 @@
     )
 
 
-class Store:
-    """A weight store that shares its speed among loads beyond a number."""
+class WeightStore:
+    """A weight store that loads more slowly beyond a number of loads."""
 
-    def __init__(self, at_once):
-        self.at_once = at_once
-        # What is left of each load at full speed, in seconds.
-        self.left: dict[str, float] = {}
+    def __init__(self, capacity):
+        self.capacity = capacity
+        # Time that each load still needs at full speed, in seconds.
+        self.remaining_s: dict[str, float] = {}
 
     def advance(self, seconds):
-        """Lets time pass; returns the loads that ended."""
-        speed = min(1.0, self.at_once / max(1, len(self.left)))
-        for name in self.left:
-            self.left[name] -= seconds * speed
-        ended = [name for name, left in self.left.items() if left <= 0]
-        for name in ended:
-            del self.left[name]
-        return ended
+        """Advances the loads in progress; returns those that completed."""
+        speed = min(1.0, self.capacity / max(1, len(self.remaining_s)))
+        for name in self.remaining_s:
+            self.remaining_s[name] -= seconds * speed
+        completed = [n for n, left_s in self.remaining_s.items() if left_s <= 0]
+        for name in completed:
+            del self.remaining_s[name]
+        return completed
 
 
 @given("a store that serves 7 loads at once, shared by 3 coordinators")
@@ -54,57 +54,59 @@
 
 @given("each has {count:d} servers that serve and lack the other model")
 def _(context, count):
-    context.beside = [
+    context.secondary = [
         {f"c{number}s{n}" for n in range(count)} for number in range(3)
     ]
 
 
 @when("one of them gets an empty server each 3 seconds for a minute")
 def _(context):
-    store = Store(7)
+    store = WeightStore(7)
     budgets = [loads.LoadBudget() for _ in range(3)]
-    own: list[set[str]] = [set(), set(), set()]
+    active: list[set[str]] = [set(), set(), set()]
     empty: dict[str, float] = {}
-    context.took = []
-    now, came = 0.0, 0
+    context.waits_s = []
+    now, started = 0.0, 0
     while now < 60.0:
-        if now >= 3.0 * came:
-            empty[f"e{came}"] = now
-            came += 1
+        if now >= 3.0 * started:
+            empty[f"e{started}"] = now
+            started += 1
         for name in store.advance(STEP_S):
-            for part in own:
-                part.discard(name)
+            for names in active:
+                names.discard(name)
             if name in empty:
-                context.took.append(now - empty.pop(name))
+                context.waits_s.append(now - empty.pop(name))
         for number, budget in enumerate(budgets):
-            mine = len(own[number])
-            under_way = loads.LoadsInProgress(mine, sum(map(len, own)) - mine)
+            own = len(active[number])
+            in_progress = loads.LoadsInProgress(
+                own, sum(map(len, active)) - own
+            )
             budget.begin_round(
-                context.engine, planners=3, in_progress=under_way, now=now
+                context.engine, planners=3, in_progress=in_progress, now=now
             )
-            for name in context.beside[number] - set(store.left):
-                wish = loads.LoadRequest(
+            for name in context.secondary[number] - set(store.remaining_s):
+                request = loads.LoadRequest(
                     make_server(name), "other", loads.LoadPriority.SECONDARY
                 )
-                budget.request(wish)
+                budget.request(request)
             for name in empty:
-                if number == 0 and name not in store.left:
-                    wish = loads.LoadRequest(
+                if number == 0 and name not in store.remaining_s:
+                    request = loads.LoadRequest(
                         make_server(name), "model", loads.LoadPriority.STANDBY
                     )
-                    budget.request(wish)
-            for wish in budget.grant():
+                    budget.request(request)
+            for request in budget.grant():
                 budget.record_start(now)
-                store.left[wish.instance.name] = LOAD_S
-                own[number].add(wish.instance.name)
-                context.beside[number].discard(wish.instance.name)
+                store.remaining_s[request.instance.name] = LOAD_S
+                active[number].add(request.instance.name)
+                context.secondary[number].discard(request.instance.name)
         now += STEP_S
 
 
 @then("the empty servers hold their model within {limit:g} seconds each")
 def _(context, limit):
-    assert len(context.took) >= 14, context.took
-    assert max(context.took) <= limit, context.took
+    assert len(context.waits_s) >= 14, context.waits_s
+    assert max(context.waits_s) <= limit, context.waits_s
 
 
 @then(
@@ -120,12 +122,12 @@
 
 
 def count_started(context, planners, elsewhere):
-    """Returns how many of 12 wanted loads a planner starts."""
+    """Returns how many of 12 requested loads a planner starts."""
     budget = loads.LoadBudget()
     engine = attrs.evolve(context.engine, max_load_starts_per_s=10.0)
-    under_way = loads.LoadsInProgress(0, elsewhere)
+    in_progress = loads.LoadsInProgress(0, elsewhere)
     budget.begin_round(
-        engine, planners=planners, in_progress=under_way, now=0.0
+        engine, planners=planners, in_progress=in_progress, now=0.0
     )
     for number in range(12):
         server = make_server(f"i{number}")
@@ -138,21 +140,21 @@
 @then("loads start for the second group, the first, the standby, no other")
 def _(context):
     budget = loads.LoadBudget()
-    under_way = loads.LoadsInProgress(0, 0)
+    in_progress = loads.LoadsInProgress(0, 0)
     budget.begin_round(
-        context.engine, planners=1, in_progress=under_way, now=0.0
+        context.engine, planners=1, in_progress=in_progress, now=0.0
     )
-    wishes = [
+    requests = [
         ("a", loads.LoadPriority.SECONDARY, 0),
         ("b", loads.LoadPriority.STANDBY, 0),
         ("c", loads.LoadPriority.GROUP, 2),
         ("d", loads.LoadPriority.GROUP, 1),
     ]
-    for name, need, missing in wishes:
+    for name, priority, missing in requests:
         budget.request(
-            loads.LoadRequest(make_server(name), "large", need, missing)
+            loads.LoadRequest(make_server(name), "large", priority, missing)
         )
-    names = [wish.instance.name for wish in budget.grant()]
+    names = [request.instance.name for request in budget.grant()]
     assert names == ["d", "c", "b"], names
 
 
@@ -160,40 +162,40 @@
 def _(context):
     context.subject = make_planner()
     context.server = make_server("i1")
-    context.given = play_rounds(context, 10.0, 15.0)
+    context.issued = run_rounds(context, 10.0, 15.0)
 
 
-def play_rounds(context, first, last):
-    """Returns the times and orders to stage that are given in a stretch."""
-    found = []
+def run_rounds(context, first, last):
+    """Returns the stage orders issued from `first` to `last`, with times."""
+    issued = []
     now = first
     while now < last:
-        found += [
+        issued += [
             (now, item)
             for item in plan_round(context.subject, [context.server], now)
             if isinstance(item, orders.SendOrder)
             and isinstance(item.order, orders.Stage)
         ]
         now += STEP_S
-    return found
+    return issued
 
 
 @then("the order is sent again after 2 seconds, with the same number")
 def _(context):
-    (first, one), (second, other), *_ = context.given
-    assert 2.0 <= second - first <= 2.5, (first, second)
-    assert one == other
+    (first_at, first), (second_at, second), *_ = context.issued
+    assert 2.0 <= second_at - first_at <= 2.5, (first_at, second_at)
+    assert first == second
 
 
 @then("not while an accepted load is in progress")
 def _(context):
-    _, item = context.given[-1]
-    answer = orders.OrderAnswered(item.name, item.order, 202)
-    context.subject.handle_response(answer)
-    assert not play_rounds(context, 15.0, 30.0)
+    _, item = context.issued[-1]
+    response = orders.OrderAnswered(item.name, item.order, 202)
+    context.subject.handle_response(response)
+    assert not run_rounds(context, 15.0, 30.0)
 
 
-# What becomes of free servers while something loads.
+# Planning of free servers while other servers load.
 
 
 def make_member(name, group, rank, state, model, staged):
@@ -207,7 +209,7 @@
 
 
 def make_small_group(number, state=instances.GROUP_OPEN):
-    """Returns the two members of a small group that have large staged."""
+    """Returns the two members of a small group, with large staged."""
     group = f"g{64 * number}"
     return [
         make_member(f"{group}a", group, 0, state, "small", "large"),
@@ -217,8 +219,8 @@
     ]
 
 
-def make_warm(count):
-    """Returns free servers with small in memory."""
+def make_warm_servers(count):
+    """Returns free servers that hold the small model in memory."""
     return [
         make_server(f"w{n}", last_model="small", staged=("small",))
         for n in range(count)
@@ -228,7 +230,7 @@
 def plan_round(
     subject, present, now, *, engine=fleet_simulation.ENGINE, lost=()
 ):
-    """Returns what a planner gives in one round."""
+    """Returns the effects of one planning round."""
     return subject.plan(
         present=present,
         services=[fleet_simulation.document.Service("model", engine=engine)],
@@ -240,11 +242,11 @@
     )
 
 
-def list_given(given, kind):
-    """Returns the orders of a kind, by server."""
+def list_orders(effects, kind):
+    """Returns the orders of one type, by server."""
     return {
         item.name: item.order
-        for item in given
+        for item in effects
         if isinstance(item, orders.SendOrder) and isinstance(item.order, kind)
     }
 
@@ -253,11 +255,11 @@
 def _(context):
     context.subject = make_planner()
     empty = [make_server("e0"), make_server("e1")]
-    context.present = [*make_small_group(1), *make_warm(4), *empty]
+    context.present = [*make_small_group(1), *make_warm_servers(4), *empty]
 
 
 def make_planner():
-    """Returns a planner that has given no orders."""
+    """Returns a planner that has issued no orders."""
     return planner.Planner(
         number=1, policy=group_builder.StandbyPolicy(), start_id="a1"
     )
@@ -266,12 +268,12 @@
 @then("two more small groups are formed, and the empty ones load large")
 def _(context):
     plan_round(context.subject, context.present, 10.0)
-    given = plan_round(make_planner(), context.present, 12.0)
-    joins = list_given(given, orders.Join)
+    effects = plan_round(make_planner(), context.present, 12.0)
+    joins = list_orders(effects, orders.Join)
     assert sorted(joins) == ["w0", "w1", "w2", "w3"], joins
     assert {o.model for o in joins.values()} == {"small"}
     assert len({o.group for o in joins.values()}) == 2
-    staged = list_given(given, orders.Stage)
+    staged = list_orders(effects, orders.Stage)
     assert {n: o.model for n, o in staged.items() if n[0] == "e"} == {
         "e0": "large",
         "e1": "large",
@@ -287,18 +289,18 @@
 @then("two small groups are retired")
 def _(context):
     present = [m for group in context.groups for m in group]
-    closes = list_given(
+    closes = list_orders(
         plan_round(context.subject, present, 10.0), orders.Close
     )
     assert len(closes) == 2, closes
     assert not any(o.cut for o in closes.values())
-    context.closed = {o.group for o in closes.values()}
+    context.retired = {o.group for o in closes.values()}
 
 
 @then("once they have ended a large group is formed")
 def _(context):
     present = [m for group in context.groups for m in group]
-    ended = [
+    reported = [
         attrs.evolve(
             member,
             sequence=2,
@@ -306,11 +308,13 @@
             member=instances.Membership(),
             last_model="small",
         )
-        if member.member.group in context.closed
+        if member.member.group in context.retired
         else member
         for member in present
     ]
-    joins = list_given(plan_round(context.subject, ended, 12.0), orders.Join)
+    joins = list_orders(
+        plan_round(context.subject, reported, 12.0), orders.Join
+    )
     assert len(joins) == 3, joins
     assert {o.model for o in joins.values()} == {"large"}
 
@@ -328,29 +332,31 @@
 
 @then("its free servers are left free")
 def _(context):
-    given = plan_round(context.subject, context.present, 10.0)
-    assert not list_given(given, orders.Join), given
+    effects = plan_round(context.subject, context.present, 10.0)
+    assert not list_orders(effects, orders.Join), effects
 
 
 @given("a planner whose loads are refused by three empty servers")
 def _(context):
     context.subject = make_planner()
     context.present = [make_server(f"e{n}") for n in range(3)]
-    context.again = {}
+    context.order_counts = {}
     now = 10.0
     while now < 20.0:
-        given = plan_round(context.subject, context.present, now)
-        for name, order in list_given(given, orders.Stage).items():
-            context.again[name] = context.again.get(name, 0) + 1
-            answer = orders.OrderAnswered(name, order, 409)
-            context.subject.handle_response(answer)
+        effects = plan_round(context.subject, context.present, now)
+        for name, order in list_orders(effects, orders.Stage).items():
+            context.order_counts[name] = context.order_counts.get(name, 0) + 1
+            response = orders.OrderAnswered(name, order, 409)
+            context.subject.handle_response(response)
         now += STEP_S
 
 
 @then("it counts 3 loads in progress and orders none of them again")
 def _(context):
     assert len(context.subject._tracker.list_loading()) == 3
-    assert context.again == {"e0": 1, "e1": 1, "e2": 1}, context.again
+    assert context.order_counts == {"e0": 1, "e1": 1, "e2": 1}, (
+        context.order_counts
+    )
 
 
 @given("three coordinators, one of which ordered an empty server to load")
@@ -358,30 +364,32 @@
     context.world = fleet_simulation.FleetSimulation()
     context.world.bootstrap()
     context.server = make_server("i1")
-    world, node = context.world, context.world.coordinator_names[0]
-    world.apply(node, events.HeartbeatArrived(context.server))
+    simulation, node = context.world, context.world.coordinator_names[0]
+    simulation.apply(node, events.HeartbeatArrived(context.server))
     order = orders.Stage("large")
-    world.apply(node, orders.OrderAnswered("i1", order, 202))
-    world.run(1.2)
+    simulation.apply(node, orders.OrderAnswered("i1", order, 202))
+    simulation.run(1.2)
 
 
 @when("it restarts with what its disk holds")
 def _(context):
-    world, node = context.world, context.world.coordinator_names[0]
-    world.kill(node)
-    world.start(node)
-    world.run(0.1)
+    simulation, node = context.world, context.world.coordinator_names[0]
+    simulation.kill(node)
+    simulation.start(node)
+    simulation.run(0.1)
 
 
 @then("all three list the server as loading until it reports the model")
 def _(context):
-    world = context.world
-    for role in world.coordinators.values():
+    simulation = context.world
+    for role in simulation.coordinators.values():
         assert role.registry.instances["i1"].loading == "large"
-    told = attrs.evolve(context.server, sequence=9, staged=("large",))
-    world.apply(world.coordinator_names[0], events.HeartbeatArrived(told))
-    world.run(0.1)
-    for role in world.coordinators.values():
+    heartbeat = attrs.evolve(context.server, sequence=9, staged=("large",))
+    simulation.apply(
+        simulation.coordinator_names[0], events.HeartbeatArrived(heartbeat)
+    )
+    simulation.run(0.1)
+    for role in simulation.coordinators.values():
         assert not role.registry.instances["i1"].loading
 
 
@@ -394,16 +402,16 @@
 
 
 def plan_small_store(context, now, lost=()):
-    """Returns the servers told to load, with a store of 3 loads at once."""
+    """Returns the servers ordered to load, with a store of 3 loads at once."""
     engine = attrs.evolve(
         fleet_simulation.ENGINE,
         max_concurrent_loads=3,
         max_load_starts_per_s=10.0,
     )
-    given = plan_round(
+    effects = plan_round(
         context.subject, context.present, now, engine=engine, lost=lost
     )
-    return set(list_given(given, orders.Stage))
+    return set(list_orders(effects, orders.Stage))
 
 
 @when("three of them load and two of these are lost")
@@ -412,8 +420,8 @@
     assert len(context.first) == 3, context.first
     for name in context.first:
         order = context.subject._tracker._pending[name].order
-        answer = orders.OrderAnswered(name, order, 202)
-        context.subject.handle_response(answer)
+        response = orders.OrderAnswered(name, order, 202)
+        context.subject.handle_response(response)
     context.present = [
         attrs.evolve(s, loading="large" if s.name in context.first else "")
         for s in context.present
@@ -431,18 +439,18 @@
 @when("a load is requested for a group that lacks 3 and one that lacks 1")
 def _(context):
     context.budget = loads.LoadBudget()
-    under_way = loads.LoadsInProgress(0, 0)
+    in_progress = loads.LoadsInProgress(0, 0)
     context.budget.begin_round(
-        context.engine, planners=3, in_progress=under_way, now=0.0
+        context.engine, planners=3, in_progress=in_progress, now=0.0
     )
     for model, missing in (("large", 3), ("small", 1), ("large", 2)):
-        wish = loads.LoadRequest(
+        request = loads.LoadRequest(
             make_server("e0"), model, loads.LoadPriority.GROUP, missing
         )
-        context.budget.request(wish)
+        context.budget.request(request)
 
 
 @then("the server loads for the group that lacks 1")
 def _(context):
-    models = [wish.model for wish in context.budget.grant()]
+    models = [request.model for request in context.budget.grant()]
     assert models == ["small"], models
