--- a/check.py
+++ b/check.py
@@ -1,7 +1,7 @@
-"""Runs the checks: `python3 check.py`, or some: `python3 check.py lint types`.
+"""Runs all checks (`python3 check.py`) or some (`python3 check.py lint types`).
 
-On a machine with Python 3.11 and nothing else it makes a virtual environment
-and installs what the checks need.
+Needs Python 3.11 only: it makes a virtual environment and installs what the
+checks need.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def set_up(checks: list[str]) -> None:
-    """Goes on in a virtual environment with everything installed."""
+    """Installs all packages in a virtual environment and re-executes there."""
     python = ENVIRONMENT / "bin" / "python"
     if not python.exists():
         subprocess.run([sys.executable, "-m", "venv", ENVIRONMENT], check=True)
@@ -34,7 +34,7 @@
 
 
 def run_tool(*arguments: str) -> bool:
-    """Runs a tool of the environment; says whether it found nothing."""
+    """Runs a tool of the environment; returns whether it succeeded."""
     print("::", *arguments, flush=True)  # noqa: T201
     command = [sys.executable, "-m", *arguments]
     return subprocess.run(command, cwd=ROOT, check=False).returncode == 0
@@ -46,7 +46,7 @@
 
 
 def check_lint() -> bool:
-    """Checks style and names."""
+    """Checks style and naming."""
     return run_tool("ruff", "check", ".")
 
 
@@ -56,7 +56,7 @@
 
 
 def read_known_red() -> set[str]:
-    """Returns the scenarios that are known to fail for a real fault."""
+    """Returns the scenarios that are known to fail because of a real fault."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
--- a/tests/environment.py
+++ b/tests/environment.py
@@ -1,4 +1,4 @@
-"""Makes the fakes importable, and starts and stops shared deployments."""
+"""Sets import paths; starts and stops deployments that features share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def before_feature(context, feature):
-    """Starts one deployment of real processes for a feature that needs it."""
+    """Starts a deployment of real processes for features that are so tagged."""
     if "processes" not in feature.tags:
         return
     from support import processes
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the real programs on one machine, with faults from outside."""
+"""Soak test of the real programs on one machine under injected faults."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers and an operator, on raw connections that they keep."""
+"""Callers, which reuse raw connections, and an operator."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 import orjson
 from support import platform_cluster
 
-from soak import engines, judge as judge_module, nodes
+from soak import checker as checker_module, engines, nodes
 
-LIMIT_S = 4.0
-PAUSE_S = 0.03
+REQUEST_TIMEOUT_S = 4.0
+MEAN_GAP_S = 0.03
 PATHS = {"stream": "/drafts/", "once": "/alerts/", "again": "/notices/"}
 
 
-class _Answer:
-    """Reads one answer."""
+class _Response:
+    """Collects one response from the parser's callbacks."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.body = bytearray()
         self.status = 0
-        self.is_whole = False
+        self.is_complete = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode().lower()] = value.decode()
@@ -37,72 +37,77 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        self.is_whole = True
+        self.is_complete = True
 
 
 class Caller:
-    """Sends one request after another; keeps its connection while it can."""
+    """Sends requests one after another over a connection that it reuses."""
 
     def __init__(
         self,
         name: str,
         gateways: list[nodes.Node],
-        judge: judge_module.Judge,
+        checker: checker_module.Checker,
         rng: random.Random,
     ) -> None:
-        """Makes a caller."""
+        """Makes a caller without a connection."""
         self._name = name
         self._gateways = gateways
-        self._judge = judge
+        self._checker = checker
         self._rng = rng
         self._count = 0
-        self._kept: tuple[nodes.Node, int, asyncio.StreamReader] | None = None
+        self._connection: (
+            tuple[nodes.Node, int, asyncio.StreamReader] | None
+        ) = None
         self._writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Calls until it is cancelled."""
+        """Sends requests until it is cancelled."""
         while True:
             await self.call()
-            await asyncio.sleep(self._rng.expovariate(1.0 / PAUSE_S))
+            await asyncio.sleep(self._rng.expovariate(1.0 / MEAN_GAP_S))
 
-    async def call(self) -> judge_module.Outcome:
-        """Sends a request and returns what came of it."""
+    async def call(self) -> checker_module.Outcome:
+        """Sends a request and returns its outcome."""
         self._count += 1
         kind = self._rng.choice(("stream", "once", "again"))
-        outcome = judge_module.Outcome(
+        outcome = checker_module.Outcome(
             f"{self._name}-{self._count}", kind, "", time.monotonic()
         )
-        answer = _Answer()
+        response = _Response()
         try:
-            async with asyncio.timeout(LIMIT_S):
-                await self._exchange(outcome, answer)
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                await self._send_request(outcome, response)
         except (OSError, TimeoutError, httptools.HttpParserError) as error:
-            self._drop()
+            self._close_connection()
             if isinstance(error, httptools.HttpParserError):
-                self._judge.complain(
-                    "an answer in the protocol", f"{outcome.attempt}: {error}"
+                self._checker.report_violation(
+                    "valid HTTP response", f"{outcome.attempt}: {error}"
                 )
-        outcome.status = answer.status
-        outcome.is_whole = answer.is_whole
-        outcome.body = bytes(answer.body)
-        outcome.seal = answer.headers.get("server-seal", "")
+        outcome.status = response.status
+        outcome.is_complete = response.is_complete
+        outcome.body = bytes(response.body)
+        outcome.signature = response.headers.get("server-seal", "")
         outcome.ended_at = time.monotonic()
-        echo = answer.headers.get("attempt-id")
-        if echo not in (None, outcome.attempt):
-            self._judge.complain("own answer", f"{outcome.attempt} got {echo}")
-        self._judge.take(outcome)
+        echoed_attempt = response.headers.get("attempt-id")
+        if echoed_attempt not in (None, outcome.attempt):
+            self._checker.report_violation(
+                "response belongs to request",
+                f"{outcome.attempt} got {echoed_attempt}",
+            )
+        self._checker.record_outcome(outcome)
         return outcome
 
-    async def _exchange(
-        self, outcome: judge_module.Outcome, answer: _Answer
+    async def _send_request(
+        self, outcome: checker_module.Outcome, response: _Response
     ) -> None:
-        node, life, reader = await self._connect()
-        outcome.gateway = f"{node.name}#{life}"
+        node, start_count, reader = await self._connect()
+        outcome.gateway = f"{node.name}#{start_count}"
         outcome.sent_at = time.monotonic()
         fields = {
             "Host": "host.example",
             "Attempt-Id": outcome.attempt,
-            "Time-Budget": str(int(LIMIT_S * 1000)),
+            "Time-Budget": str(int(REQUEST_TIMEOUT_S * 1000)),
             "Authorization": "Token key-1",
             "Content-Length": "0",
         }
@@ -112,90 +117,90 @@
         head = "".join(f"{k}: {v}\r\n" for k, v in fields.items())
         assert self._writer is not None
         self._writer.write(f"POST {path} HTTP/1.1\r\n{head}\r\n".encode())
-        while not answer.is_whole:
+        while not response.is_complete:
             data = await reader.read(65536)
             if not data:
-                self._drop()
+                self._close_connection()
                 return
-            answer.parser.feed_data(data)
-        closes = answer.headers.get("connection", "").lower() == "close"
+            response.parser.feed_data(data)
+        closes = response.headers.get("connection", "").lower() == "close"
         if closes or self._rng.random() < 0.2:
-            self._drop()
+            self._close_connection()
 
     async def _connect(
         self,
     ) -> tuple[nodes.Node, int, asyncio.StreamReader]:
-        if self._kept is None:
+        if self._connection is None:
             node = self._rng.choice(self._gateways)
-            life = node.life
+            start_count = node.start_count
             reader, self._writer = await asyncio.open_connection(
                 node.ip, nodes.CALLER_PORT
             )
-            self._kept = (node, life, reader)
-        return self._kept
+            self._connection = (node, start_count, reader)
+        return self._connection
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._writer is not None:
             self._writer.close()
-        self._kept = self._writer = None
+        self._connection = self._writer = None
 
 
 class Operator:
-    """Changes the configuration, again and again until it is acknowledged."""
+    """Changes the configuration, retrying until the change is acknowledged."""
 
     def __init__(
         self,
         coordinators: list[nodes.Node],
-        judge: judge_module.Judge,
+        checker: checker_module.Checker,
         rng: random.Random,
     ) -> None:
-        """Makes an operator that has changed nothing."""
+        """Makes an operator that has not yet changed the configuration."""
         self._coordinators = coordinators
-        self._judge = judge
+        self._checker = checker
         self._rng = rng
         self.version = 0
 
     async def change(self, *, racing: bool = False) -> None:
-        """Sends a new version, or two with one number at once."""
+        """Submits a new version, or two at once under the same number."""
         self.version += self._rng.randint(1, 3)
         labels = ("a", "b") if racing else ("a",)
         await asyncio.gather(*(self._send(self.version, x) for x in labels))
 
     async def _send(self, version: int, label: str) -> None:
         body = orjson.dumps(make_configuration(version, label))
-        ends = time.monotonic() + 20.0
-        while time.monotonic() < ends:
-            status, _ = await self._ask("POST", "/config/replace", body)
+        deadline = time.monotonic() + 20.0
+        while time.monotonic() < deadline:
+            status, _ = await self._request("POST", "/config/replace", body)
             if status == 200:
-                self._judge.note_acknowledged(version)
+                self._checker.record_acknowledged(version)
                 return
             if status in (400, 409, 412, 413, 422):
-                self._judge.complain("a change is taken", f"{status}")
+                self._checker.report_violation("change accepted", f"{status}")
                 return
             await asyncio.sleep(0.2)
 
     async def read(self) -> int:
-        """Reads the newest version; 0 if nobody could tell it."""
-        floor = self._judge.acknowledged
-        status, body = await self._ask("GET", "/config/read", b"")
+        """Returns the newest version; 0 if no coordinator returned it."""
+        min_version = self._checker.acknowledged
+        status, body = await self._request("GET", "/config/read", b"")
         if status != 200:
             return 0
         found = orjson.loads(body)
         workspace = found["Tenants"][0]["Name"]
-        self._judge.check_read(floor, workspace, found["Version"])
+        self._checker.check_read(min_version, workspace, found["Version"])
         return found["Version"]
 
     async def run(self) -> None:
-        """Reads until it is cancelled."""
+        """Reads the configuration until it is cancelled."""
         while True:
             await self.read()
             await asyncio.sleep(0.3)
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
         node = self._rng.choice(self._coordinators)
-        answer = _Answer()
+        response = _Response()
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -207,21 +212,21 @@
                         f"Content-Length: {len(body)}\r\n\r\n".encode()
                         + body
                     )
-                    while not answer.is_whole:
+                    while not response.is_complete:
                         data = await reader.read(65536)
                         if not data:
                             return 0, b""
-                        answer.parser.feed_data(data)
+                        response.parser.feed_data(data)
                 finally:
                     writer.close()
         except (OSError, TimeoutError):
-            # No clear answer: it is asked again, anywhere.
+            # The result is unknown: the caller retries at any coordinator.
             return 0, b""
-        return answer.status, bytes(answer.body)
+        return response.status, bytes(response.body)
 
 
 def make_configuration(version: int, label: str) -> dict:
-    """Returns a configuration whose workspace tells its version."""
+    """Returns a configuration whose workspace name holds its version."""
     found = platform_cluster.make_configuration(version)
     found["Routes"].append(
         {
--- /dev/null
+++ b/tests/soak/checker.py
@@ -0,0 +1,214 @@
+"""Checks invariants against what callers and servers observe."""
+
+from __future__ import annotations
+
+import collections
+from typing import Literal
+
+import attrs
+
+Kind = Literal["stream", "once", "again"]
+# Statuses that guarantee that the request has not run and never will.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+# Just after a gateway has received a change, two of its requests may end in
+# another order than it admitted them. In seconds.
+REORDER_S = 0.25
+
+
+@attrs.define
+class Outcome:
+    """What a caller observed of one request.
+
+    Attributes:
+        attempt: Its id.
+        kind: A stream (`stream`), a request that may run at most once (`once`)
+            or an idempotent one (`again`).
+        gateway: The gateway that it was sent to, with the start count of the
+            process.
+        sent_at: Time at which it was sent.
+        status: Status of the response; 0 without one.
+        is_complete: Whether the response was received completely.
+        signature: Server that signed the response; empty if unsigned.
+        body: The part of the body that was received.
+        ended_at: Time at which the response, or the attempt, ended.
+    """
+
+    attempt: str
+    kind: Kind
+    gateway: str
+    sent_at: float
+    status: int = 0
+    is_complete: bool = False
+    signature: str = ""
+    body: bytes = b""
+    ended_at: float = 0.0
+
+
+@attrs.frozen
+class Run:
+    """One execution of a request by a server."""
+
+    attempt: str
+    server: str
+    workspace: str
+    started_at: float
+
+
+class Checker:
+    """Collects observations and the violations of invariants in them."""
+
+    def __init__(self) -> None:
+        """Makes a checker without observations."""
+        self.violations: list[str] = []
+        self.outcomes: list[Outcome] = []
+        self.acknowledged = 0
+        self.reads = 0
+        self.checked: collections.Counter[str] = collections.Counter()
+        self._runs: dict[str, list[Run]] = collections.defaultdict(list)
+        self._ready: dict[tuple[str, int], set[str]] = collections.defaultdict(
+            set
+        )
+        self._labels: dict[int, str] = {}
+        self._newest_versions: dict[str, tuple[float, int]] = {}
+
+    def report_violation(self, invariant: str, detail: str) -> None:
+        """Records a violation of an invariant."""
+        self.violations.append(f"{invariant}: {detail}")
+
+    # Groups.
+
+    def record_ready(self, server: str, group: str, epoch: int) -> None:
+        """Records that a member is ready."""
+        self._ready[group, epoch].add(server)
+
+    def check_complete_group(
+        self, server: str, group: str, epoch: int, members: tuple[str, ...]
+    ) -> None:
+        """Checks that all members of a replica with a request were ready."""
+        self.checked["complete group"] += 1
+        missing = set(members) - self._ready[group, epoch]
+        if missing or not members:
+            self.report_violation(
+                "complete group", f"{server} runs without {missing}"
+            )
+
+    # Requests.
+
+    def record_run(self, run: Run) -> None:
+        """Records that a server began to run a request."""
+        self._runs[run.attempt].append(run)
+        self._check_label(run.workspace)
+
+    def record_outcome(self, outcome: Outcome) -> None:
+        """Records what a caller observed, and checks it."""
+        self.outcomes.append(outcome)
+        if outcome.status == 200 and outcome.is_complete:
+            self._check_success(outcome)
+        elif outcome.kind == "stream" and outcome.body:
+            self._check_events(outcome)
+
+    def _check_success(self, outcome: Outcome) -> None:
+        self.checked["response belongs to request"] += 1
+        runs = self._runs[outcome.attempt]
+        if outcome.signature not in {run.server for run in runs}:
+            self.report_violation(
+                "response belongs to request",
+                f"{outcome.attempt} signed by {outcome.signature!r}",
+            )
+        if outcome.kind == "stream":
+            count = self._check_events(outcome)
+            if count != EVENTS_PER_STREAM:
+                self.report_violation(
+                    "complete stream", f"{outcome.attempt} ends after {count}"
+                )
+        elif outcome.body != make_body(outcome.attempt):
+            self.report_violation(
+                "response belongs to request",
+                f"{outcome.attempt}: {outcome.body!r}",
+            )
+        self._check_version(outcome)
+
+    def _check_events(self, outcome: Outcome) -> int:
+        self.checked["events in order"] += 1
+        events = outcome.body.split(b"\n\n")[:-1]
+        for number, event in enumerate(events, start=1):
+            if event + b"\n\n" != make_event(outcome.attempt, number):
+                self.report_violation(
+                    "events in order", f"{outcome.attempt}: {event!r}"
+                )
+                break
+        return len(events)
+
+    def finish(self) -> None:
+        """Checks the invariants that can be checked only after the run."""
+        for outcome in self.outcomes:
+            if outcome.kind != "once":
+                continue
+            self.checked["at most once"] += 1
+            runs = self._runs[outcome.attempt]
+            if len(runs) > 1:
+                self.report_violation(
+                    "at most once", f"{outcome.attempt}: {runs}"
+                )
+            if outcome.status in NOT_EXECUTED_STATUSES and runs:
+                self.report_violation(
+                    "refused request not run",
+                    f"{outcome.attempt}: {outcome.status}",
+                )
+
+    # The configuration.
+
+    def _check_label(self, workspace: str) -> int:
+        version, _, label = workspace.removeprefix("crew-").partition("-")
+        number = int(version or "0")
+        known = self._labels.setdefault(number, label)
+        if known != label:
+            self.report_violation(
+                "one configuration per version", f"{number}: {known}, {label}"
+            )
+        return number
+
+    def _check_version(self, outcome: Outcome) -> None:
+        """Checks that a gateway process never returns to an older version."""
+        run = self._runs[outcome.attempt][-1] if outcome.attempt else None
+        if run is None:
+            return
+        self.checked["version never decreases"] += 1
+        version = self._check_label(run.workspace)
+        newest_at, newest = self._newest_versions.get(outcome.gateway, (0.0, 0))
+        if version < newest and outcome.sent_at > newest_at + REORDER_S:
+            self.report_violation(
+                "version never decreases",
+                f"{outcome.gateway}: {version} after {newest}",
+            )
+        if version > newest:
+            self._newest_versions[outcome.gateway] = (run.started_at, version)
+
+    def record_acknowledged(self, version: int) -> None:
+        """Records that a change was acknowledged."""
+        self.acknowledged = max(self.acknowledged, version)
+
+    def check_read(
+        self, min_version: int, workspace: str, version: int
+    ) -> None:
+        """Checks that a read is not older than what was acknowledged before."""
+        self.checked["read is not stale"] += 1
+        self.reads += 1
+        self._check_label(workspace)
+        if version < min_version:
+            self.report_violation(
+                "read is not stale", f"{version} after {min_version}"
+            )
+
+
+EVENTS_PER_STREAM = 12
+
+
+def make_event(attempt: str, number: int) -> bytes:
+    """Returns an event of a request's stream."""
+    return f"id: {number}\ndata: {attempt} {number}\n\n".encode()
+
+
+def make_body(attempt: str) -> bytes:
+    """Returns the body of a response that is not a stream."""
+    return f"done {attempt}".encode()
--- a/tests/soak/engines.py
+++ b/tests/soak/engines.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak: the stand-in's calls, a strict group model."""
+"""Backend servers of the soak: stand-ins with a strict model of groups."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 from hickorylead.fleet import instances, orders
 from hickorylead_standins import platform
-from soak import judge as judge_module
+from soak import checker as checker_module
 
-EVENT_S = 0.02
-WORK_S = 0.05
-# An order that is carried out late comes after this, in seconds.
-LATE_S = (0.5, 4.0)
+EVENT_INTERVAL_S = 0.02
+MEAN_WORK_S = 0.05
+# Range of the delay of an order that is carried out late, in seconds.
+LATE_ORDER_S = (0.5, 4.0)
 PORT = 7810
 MODEL = "tiny"
-BEAT_S = 0.4
-CALL_S = 1.0
+HEARTBEAT_S = 0.4
+CALL_TIMEOUT_S = 1.0
 
 
-class Trouble:
-    """What all servers do wrong at present; shared and mutable."""
+class ServerFaults:
+    """Faults that all servers currently show; shared and mutable."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Makes servers that do everything right."""
+        """Makes the state without faults."""
         self.rng = rng
-        self.lost_share = 0.0
-        self.late_share = 0.0
+        self.lost_response_share = 0.0
+        self.late_order_share = 0.0
 
-    def loses(self) -> bool:
-        """Says whether the next answer is lost."""
-        return self.rng.random() < self.lost_share
+    def should_lose_response(self) -> bool:
+        """Returns whether the next response is to be lost."""
+        return self.rng.random() < self.lost_response_share
 
-    def is_late(self) -> bool:
-        """Says whether the next order is carried out late."""
-        return self.rng.random() < self.late_share
+    def should_delay_order(self) -> bool:
+        """Returns whether the next order is to be carried out late."""
+        return self.rng.random() < self.late_order_share
 
 
 class Engine(platform.PlatformServer):
-    """One backend server; without a domain it is a plain one."""
+    """One backend server; without a domain it cannot be in a group."""
 
     def __init__(
         self,
@@ -53,9 +53,9 @@
         zone: str,
         domain: str,
         controls: list[str],
-        judge: judge_module.Judge,
-        trouble: Trouble,
-        everyone: dict[str, Engine],
+        checker: checker_module.Checker,
+        faults: ServerFaults,
+        all_engines: dict[str, Engine],
     ) -> None:
         """Makes a server; `start` opens its port."""
         super().__init__(
@@ -71,27 +71,27 @@
         self.domain = domain
         self.alive = True
         self.model = simulated_servers.SimulatedServer(name, zone, domain)
-        self._judge = judge
-        self._trouble = trouble
-        self._everyone = everyone
+        self._checker = checker
+        self._faults = faults
+        self._all_engines = all_engines
 
     async def start(self) -> None:
-        """Opens the port and begins to tell of itself."""
+        """Opens the port and begins to send heartbeats."""
         self._server = await asyncio.start_server(
             self._serve, self.bind_ip, PORT
         )
         self._spawn(self._send_heartbeats())
-        self._spawn(self._turn_over())
+        self._spawn(self._advance_model())
 
     def crash(self) -> None:
-        """Ends without a word."""
+        """Stops without notice, resetting its connections."""
         self.alive = False
         self.stop()
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def leave(self) -> None:
-        """Says that it drains, serves on for a while, and ends."""
+    async def drain_and_stop(self) -> None:
+        """Reports that it drains, serves for 2.5 s more, and stops."""
         self.state = "draining"
         self.model.phase = instances.PHASE_DRAINING
         await self.send_heartbeat()
@@ -102,22 +102,22 @@
     async def _send_heartbeats(self) -> None:
         while True:
             await self.send_heartbeat()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_S)
 
-    async def _turn_over(self) -> None:
+    async def _advance_model(self) -> None:
         while True:
             await asyncio.sleep(0.02)
             before = self.model.member.state
             if self.model.advance(time.monotonic()):
                 member = self.model.member
                 if member.state == instances.GROUP_READY != before:
-                    self._judge.note_ready(
+                    self._checker.record_ready(
                         self.name, member.group, member.epoch
                     )
                 self._spawn(self.send_heartbeat())
 
     async def send_heartbeat(self) -> int:
-        """Tells of itself; returns the status of the answer."""
+        """Sends a heartbeat; returns the status, 0 if none succeeded."""
         self._heartbeat_count += 1
         body = {
             "Service": self._service,
@@ -130,23 +130,23 @@
             "Sequence": self._heartbeat_count,
         }
         if self.domain:
-            told = self.model.make_heartbeat()
+            heartbeat = self.model.make_heartbeat()
             body["Domain"] = self.domain
-            body["Staged"] = list(told.staged)
-            body["Models"] = [{"Name": name} for name in told.models]
-            if told.member.group:
+            body["Staged"] = list(heartbeat.staged)
+            body["Models"] = [{"Name": name} for name in heartbeat.models]
+            if heartbeat.member.group:
                 body["group"] = {
-                    "Name": told.member.group,
-                    "epoch": told.member.epoch,
-                    "rank": told.member.rank,
-                    "State": told.member.state,
+                    "Name": heartbeat.member.group,
+                    "epoch": heartbeat.member.epoch,
+                    "rank": heartbeat.member.rank,
+                    "State": heartbeat.member.state,
                 }
         return await self._call("heartbeat", body)
 
     async def _call(self, verb, body) -> int:
         for control in self._controls:
             try:
-                async with asyncio.timeout(CALL_S):
+                async with asyncio.timeout(CALL_TIMEOUT_S):
                     status = await platform.post_json(
                         control,
                         f"/instances/{self.name}/{verb}",
@@ -154,7 +154,7 @@
                         self.bind_ip,
                     )
             except TimeoutError:
-                # Cut off, frozen or silent: the next one is asked.
+                # Partitioned, frozen or blackholed: tries the next one.
                 continue
             if status == 200:
                 return status
@@ -164,45 +164,48 @@
 
     def _handle_order(self, order) -> int:
         now = time.monotonic()
-        found = _read_order(order)
-        if isinstance(found, orders.Join):
-            self._check_two(found)
-        status = self.model.apply_order(found, order.get("Expected"), now)
+        decoded = _decode_order(order)
+        if isinstance(decoded, orders.Join):
+            self._check_single_group(decoded)
+        status = self.model.apply_order(decoded, order.get("Expected"), now)
         self._order_count = self.model.accepted
         if status < 300:
             self._spawn(self.send_heartbeat())
         return status
 
-    async def _take_late(self, order) -> None:
-        await asyncio.sleep(self._trouble.rng.uniform(*LATE_S))
+    async def _apply_late_order(self, order) -> None:
+        await asyncio.sleep(self._faults.rng.uniform(*LATE_ORDER_S))
         self._handle_order(order)
 
-    def _check_two(self, join: orders.Join) -> None:
-        """Checks that a server in a group that serves takes no other one."""
+    def _check_single_group(self, join: orders.Join) -> None:
+        """Checks that a member of a serving group joins no other group."""
         member = self.model.member
         if not member.group or member.group == join.group:
             return
-        head = self._everyone.get(self.model.members[0])
+        head = self._all_engines.get(self.model.members[0])
         if head is None or not head.alive:
             return
-        held = head.model.member
-        if held.state == instances.GROUP_OPEN and (held.group, held.epoch) == (
+        head_member = head.model.member
+        if head_member.state == instances.GROUP_OPEN and (
+            head_member.group,
+            head_member.epoch,
+        ) == (
             member.group,
             member.epoch,
         ):
-            self._judge.complain(
-                "one group a server",
+            self._checker.report_violation(
+                "one group per server",
                 f"{self.name} joins {join.group} out of {member.group}",
             )
 
     # Requests.
 
     async def _respond(self, request, writer) -> None:
-        if request.target == "/order" and self._trouble.is_late():
+        if request.target == "/order" and self._faults.should_delay_order():
             order = orjson.loads(request.body)
-            self._spawn(self._take_late(order))
-            # The caller hears nothing, and closes in the end.
-            await asyncio.sleep(LATE_S[1])
+            self._spawn(self._apply_late_order(order))
+            # The sender gets no response and closes the connection.
+            await asyncio.sleep(LATE_ORDER_S[1])
             return
         if request.target in ("/order", "/report"):
             await super()._respond(request, writer)
@@ -220,32 +223,34 @@
         if self.domain:
             await self._run_stream(request, attempt, writer)
             return
-        self._begin(attempt, headers)
-        await asyncio.sleep(self._trouble.rng.uniform(0.0, 2 * WORK_S))
-        if self._trouble.loses():
+        self._record_run(attempt, headers)
+        await asyncio.sleep(self._faults.rng.uniform(0.0, 2 * MEAN_WORK_S))
+        if self._faults.should_lose_response():
             writer.transport.abort()
             return
         platform.write_response(
             writer,
             200,
-            judge_module.make_body(attempt),
+            checker_module.make_body(attempt),
             **{"Attempt-Id": attempt, "Server-Seal": self.name},
         )
 
-    def _begin(self, attempt: str, headers) -> None:
-        self._judge.note_run(
-            judge_module.Run(
+    def _record_run(self, attempt: str, headers) -> None:
+        self._checker.record_run(
+            checker_module.Run(
                 attempt, self.name, headers.get("tenant", ""), time.monotonic()
             )
         )
 
     async def _run_stream(self, request, attempt: str, writer) -> None:
         member, members = self.model.member, self.model.members
-        if not await self._wait_members(members):
+        if not await self._wait_for_members(members):
             platform.write_response(writer, 503, b"", **{"Not-Executed": "1"})
             return
-        self._judge.check_whole(self.name, member.group, member.epoch, members)
-        self._begin(attempt, request.headers)
+        self._checker.check_complete_group(
+            self.name, member.group, member.epoch, members
+        )
+        self._record_run(attempt, request.headers)
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             b"Transfer-Encoding: chunked\r\n"
@@ -253,36 +258,41 @@
             + f"Server-Seal: {self.name}\r\n\r\n".encode()
         )
         first = int(request.headers.get("last-event-id", "0")) + 1
-        for number in range(first, judge_module.EVENTS + 1):
-            if not await self._wait_members(members):
+        for number in range(first, checker_module.EVENTS_PER_STREAM + 1):
+            if not await self._wait_for_members(members):
                 writer.transport.abort()
                 return
-            event = judge_module.make_event(attempt, number)
+            event = checker_module.make_event(attempt, number)
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-            if self._trouble.loses():
+            if self._faults.should_lose_response():
                 writer.transport.abort()
                 return
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         writer.write(b"0\r\n\r\n")
 
-    async def _wait_members(self, members: tuple[str, ...]) -> bool:
-        """Waits while a member is gone; the head breaks after a while."""
-        ends = time.monotonic() + simulated_servers.STALL_S
+    async def _wait_for_members(self, members: tuple[str, ...]) -> bool:
+        """Waits while a member is down.
+
+        Returns:
+            Whether all members are up; False after a time-out, when the head
+            aborts its streams, or when its own epoch has changed.
+        """
+        deadline = time.monotonic() + simulated_servers.STALL_S
         epoch = self.model.member.epoch
         while not all(
-            name in self._everyone
-            and self._everyone[name].alive
-            and self._everyone[name].model.member.epoch == epoch
+            name in self._all_engines
+            and self._all_engines[name].alive
+            and self._all_engines[name].model.member.epoch == epoch
             for name in members
         ):
             await asyncio.sleep(0.05)
-            if time.monotonic() > ends or self.model.member.epoch != epoch:
+            if time.monotonic() > deadline or self.model.member.epoch != epoch:
                 return False
         return True
 
 
-def _read_order(order) -> orders.Order:
+def _decode_order(order) -> orders.Order:
     match order["Operation"]:
         case "Stage":
             return orders.Stage(order["Model"])
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,8 +1,9 @@
-"""A proxy before every port, and the faults of the links between nodes.
+"""Proxies in front of all ports, and the faults of links between nodes.
 
-Each node is reached at an address of its own on which a proxy listens, and
-binds another one; connections it opens come from that. So the proxy knows both
-ends of a link, and can hold up, slow, silence or reset it one way or both.
+Each node has two addresses: a proxy listens on one, and the node itself binds
+the other one, from which its outgoing connections come too. So the proxy can
+identify both ends of a link, and can block, delay, blackhole or reset it. Rules
+that block or delay apply to one direction; two of them cover both.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 @attrs.define
 class Rule:
-    """What happens to bytes on some links, until it is taken away.
+    """Delay of the bytes on some links, in force until it is removed.
 
     Attributes:
-        sources: IP numbers that the bytes come from; None for any.
-        targets: IP numbers that they go to; None for any.
-        delay_s: How long they are held up; infinite for a cut.
+        sources: IP addresses that the bytes come from; None for any.
+        targets: IP addresses that they go to; None for any.
+        delay_s: How long they are delayed; infinite for a partition.
     """
 
     sources: frozenset[str] | None
@@ -28,7 +29,7 @@
     delay_s: float
 
     def covers(self, source: str, target: str) -> bool:
-        """Says whether bytes from one node to another are concerned."""
+        """Returns whether the rule applies to bytes from source to target."""
         return (self.sources is None or source in self.sources) and (
             self.targets is None or target in self.targets
         )
@@ -41,58 +42,60 @@
         """Makes a connection between two nodes."""
         self.caller = caller
         self.server = server
-        self.is_silent = False
+        self.is_blackholed = False
         self._links = links
         self._writers: list[asyncio.StreamWriter] = []
 
     async def run(self, reader, writer, ip: str, port: int) -> None:
-        """Carries bytes both ways until one end closes."""
+        """Forwards bytes in both directions until one end closes."""
         self._writers.append(writer)
         try:
             await self._links.wait(self.caller, self.server)
-            there, back = await asyncio.open_connection(ip, port)
-            self._writers.append(back)
-            ways = (
-                self._pump(reader, back, self.caller, self.server),
-                self._pump(there, writer, self.server, self.caller),
+            server_reader, server_writer = await asyncio.open_connection(
+                ip, port
             )
-            await asyncio.gather(*ways)
+            self._writers.append(server_writer)
+            transfers = (
+                self._forward(reader, server_writer, self.caller, self.server),
+                self._forward(server_reader, writer, self.server, self.caller),
+            )
+            await asyncio.gather(*transfers)
         except (OSError, asyncio.CancelledError):
-            # One end is gone: the other one must see it, too.
+            # One end is gone: the other one must be disconnected too.
             self.reset()
         finally:
-            for end in self._writers:
-                end.close()
+            for each in self._writers:
+                each.close()
 
-    async def _pump(self, reader, writer, source: str, target: str) -> None:
+    async def _forward(self, reader, writer, source: str, target: str) -> None:
         while data := await reader.read(65536):
             await self._links.wait(source, target)
-            if not self.is_silent:
+            if not self.is_blackholed:
                 writer.write(data)
                 await writer.drain()
         await self._links.wait(source, target)
-        if not self.is_silent:
+        if not self.is_blackholed:
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
     def reset(self) -> None:
-        """Ends the connection at once, at both ends."""
+        """Resets the connection at both ends."""
         for writer in self._writers:
             writer.transport.abort()
 
 
 class Links:
-    """All proxies, and the rules of the links."""
+    """All proxies, and the rules for the links between nodes."""
 
     def __init__(self) -> None:
-        """Makes links that work."""
+        """Makes links without faults."""
         self.rules: list[Rule] = []
         self._connections: set[Connection] = set()
         self._servers: list[asyncio.Server] = []
         self._changed = asyncio.Event()
 
     async def open(self, ip: str, port: int, target_ip: str) -> None:
-        """Opens a proxy before a port of a node."""
+        """Opens a proxy in front of a port of a node."""
 
         async def serve(reader, writer) -> None:
             caller = writer.get_extra_info("peername")[0]
@@ -101,7 +104,7 @@
             try:
                 await connection.run(reader, writer, target_ip, port)
             except asyncio.CancelledError:
-                # The run is over.
+                # The event loop ends at the end of the run.
                 writer.transport.abort()
             finally:
                 self._connections.discard(connection)
@@ -109,37 +112,37 @@
         self._servers.append(await asyncio.start_server(serve, ip, port))
 
     def add(self, rule: Rule) -> None:
-        """Puts a rule in force."""
+        """Adds a rule."""
         self.rules.append(rule)
 
     def remove(self, rule: Rule) -> None:
-        """Takes a rule away; what it held up goes on."""
+        """Removes a rule; bytes that it blocked are forwarded."""
         self.rules.remove(rule)
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self, source: str, target: str) -> None:
-        """Waits as long as the rules hold up bytes on a link."""
+        """Waits as long as the rules delay bytes on a link."""
         delayed = False
         while True:
             delays = [r.delay_s for r in self.rules if r.covers(source, target)]
-            worst = max(delays, default=0.0)
-            if worst == float("inf"):
+            longest = max(delays, default=0.0)
+            if longest == float("inf"):
                 await self._changed.wait()
-            elif worst > 0 and not delayed:
-                await asyncio.sleep(worst)
+            elif longest > 0 and not delayed:
+                await asyncio.sleep(longest)
                 delayed = True
             else:
                 return
 
     def find(self, ips: frozenset[str]) -> list[Connection]:
-        """Returns the connections with an end at one of some nodes."""
+        """Returns the connections that start or end at any of these nodes."""
         return [
             c for c in self._connections if c.caller in ips or c.server in ips
         ]
 
     def close(self) -> None:
-        """Closes everything."""
+        """Closes all proxies and resets all connections."""
         for server in self._servers:
             server.close()
         for connection in list(self._connections):
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The real programs as processes, and the signals that they get."""
+"""Processes of the real programs, and the signals sent to them."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
         name: Its VM.
         role: `gateway` or `coordinator`.
         zone: Its zone.
-        number: Tells its addresses from others.
-        slot: Tells runs apart that share the machine.
-        folder: Where its files are.
+        number: Last part of its addresses, distinct for each node.
+        slot: Address block; distinct for each run that shares the machine.
+        folder: Folder of its files.
         process: The process; None while it is down.
-        life: Counts its starts.
-        stopped_by_us: Whether a signal of ours ends it.
-        troubled_at: When it last had a fault, or got over one.
+        start_count: How often it has been started.
+        stopped_by_harness: Whether a signal of the harness ends it.
+        last_fault_at: When its last fault began or ended.
     """
 
     name: str
@@ -44,28 +44,28 @@
     slot: int
     folder: pathlib.Path
     process: subprocess.Popen | None = None
-    life: int = 0
-    stopped_by_us: bool = False
-    troubled_at: float = 0.0
+    start_count: int = 0
+    stopped_by_harness: bool = False
+    last_fault_at: float = 0.0
 
     @property
     def ip(self) -> str:
-        """Where others reach it."""
+        """Address at which other nodes reach it, through the proxy."""
         return f"127.{78 + self.slot}.1.{self.number}"
 
     @property
     def bind_ip(self) -> str:
-        """Where it listens."""
+        """Address that it binds and listens on."""
         return f"127.{78 + self.slot}.2.{self.number}"
 
     @property
     def ports(self) -> tuple[int, ...]:
-        """The ports that it opens."""
+        """Ports that it listens on."""
         if self.role == "gateway":
             return (CALLER_PORT, READY_PORT, PEER_PORT)
         return (CONTROL_PORT, PEER_PORT)
 
-    def write_settings(self, seeds: list[str], *, first: bool) -> None:
+    def write_settings(self, seeds: list[str], *, is_bootstrap: bool) -> None:
         """Writes its settings file."""
         lines = [
             f"NodeName={self.name}",
@@ -74,7 +74,7 @@
             *(f"Zones.{zone}=r" for zone in ZONES),
             f"InternalPorts={PEER_PORT},{PEER_PORT + 8}",
             f"Seeds={','.join(f'{s}:{CONTROL_PORT}' for s in seeds)}",
-            f"Bootstrap={'true' if first else 'false'}",
+            f"Bootstrap={'true' if is_bootstrap else 'false'}",
             f"HeartbeatMs={int(HEARTBEAT_S * 1000)}",
             f"Bounds.GraceS={GRACE_S}",
             "Bounds.BudgetRatio=0.2",
@@ -98,8 +98,8 @@
 
     def start(self) -> None:
         """Starts the process."""
-        self.life += 1
-        self.stopped_by_us = False
+        self.start_count += 1
+        self.stopped_by_harness = False
         sources = self.folder.parent / "src"
         if not sources.exists():
             # Restarts must run the same program, also if somebody edits it.
@@ -120,48 +120,48 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Sends it a signal, by its own id."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process unless it has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def wait_end(self, limit_s: float) -> bool:
-        """Waits until it has ended; says whether it did."""
-        ends = time.monotonic() + limit_s
+    async def wait_for_exit(self, timeout_s: float) -> bool:
+        """Waits for the process to end; returns whether it has ended."""
+        deadline = time.monotonic() + timeout_s
         while self.process is not None and self.process.poll() is None:
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline:
                 return False
             await asyncio.sleep(0.02)
         return True
 
     async def kill(self) -> None:
-        """Ends it at once."""
-        self.stopped_by_us = True
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
-        await self.wait_end(5.0)
+        """Ends the process with SIGKILL, also while it is stopped."""
+        self.stopped_by_harness = True
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
+        await self.wait_for_exit(5.0)
 
     async def stop(self) -> None:
-        """Ends it with SIGTERM, and with SIGKILL after the time for that."""
-        self.stopped_by_us = True
-        self.send(signal.SIGTERM)
-        if not await self.wait_end(GRACE_S):
+        """Ends the process with SIGTERM, or with SIGKILL after GRACE_S."""
+        self.stopped_by_harness = True
+        self.send_signal(signal.SIGTERM)
+        if not await self.wait_for_exit(GRACE_S):
             await self.kill()
 
     def wipe(self) -> None:
-        """Empties its disk."""
+        """Deletes its data."""
         shutil.rmtree(self.folder / "data")
         (self.folder / "data").mkdir()
 
-    def tear(self) -> None:
-        """Leaves half a record behind what its journal holds."""
+    def tear_journal(self) -> None:
+        """Appends a torn record to its journal."""
         for path in (self.folder / "data").rglob("journal*"):
             if path.is_file() and path.stat().st_size:
-                with path.open("ab") as opened:
-                    opened.write(b"\0\0\0\x40\x12\x34")
+                with path.open("ab") as journal:
+                    journal.write(b"\0\0\0\x40\x12\x34")
 
-    def find_own_end(self) -> int | None:
-        """Returns the exit code if it ended by itself; else None."""
-        if self.process is None or self.stopped_by_us:
+    def get_unexpected_exit_code(self) -> int | None:
+        """Returns the exit code if the process ended by itself, else None."""
+        if self.process is None or self.stopped_by_harness:
             return None
         return self.process.poll()
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""The faults of one run, drawn from a seed: series that overlap."""
+"""The faults of one run: overlapping series that are drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 # Seconds between the starts of two series, and between the faults of one.
 SERIES_GAP_S = (0.3, 2.5)
 FAULT_GAP_S = (0.1, 1.5)
-# A disk may be lost only when the last one has been made up for: an empty voter
-# is taken in within about 6 s.
+# A disk may be lost only after the cluster has recovered from the previous
+# loss: a voter with an empty disk is readmitted within about 6 s.
 WIPE_GAP_S = 14.0
 
 
 @attrs.frozen
 class Kill:
-    """A process is killed, and back after a while; its journal may be torn."""
+    """A process is killed and restarted; its journal may get a torn record."""
 
     node: str
     down_s: float
@@ -24,8 +24,8 @@
 
 
 @attrs.frozen
-class KillMany:
-    """All processes of a role are killed at one moment."""
+class KillRole:
+    """All processes of a role are killed at the same time."""
 
     role: str
     down_s: float
@@ -33,23 +33,23 @@
 
 @attrs.frozen
 class Wipe:
-    """A coordinator is killed and comes back with an empty disk."""
+    """A coordinator is killed and restarted with an empty disk."""
 
     node: str
     down_s: float
 
 
 @attrs.frozen
-class Pause:
-    """A process stands still (SIGSTOP), and goes on."""
+class Freeze:
+    """A process is stopped (SIGSTOP) and later continued."""
 
     node: str
-    for_s: float
+    duration_s: float
 
 
 @attrs.frozen
 class Terminate:
-    """A process gets SIGTERM and is started again."""
+    """A process gets SIGTERM and is restarted."""
 
     node: str
 
@@ -62,26 +62,27 @@
 
 
 @attrs.frozen
-class Cut:
-    """Bytes between some nodes and all others are held up.
+class Partition:
+    """Bytes between some nodes and all others are blocked.
 
     Attributes:
-        nodes: These nodes.
-        for_s: For how long.
-        way: `in`, `out` or `both`.
+        nodes: The nodes that are cut off.
+        duration_s: How long the partition lasts.
+        direction: Blocked direction, seen from the nodes: `in`, `out` or
+            `both`.
     """
 
     nodes: tuple[str, ...]
-    for_s: float
-    way: str
+    duration_s: float
+    direction: str
 
 
 @attrs.frozen
 class Delay:
-    """Bytes to and from a node come late."""
+    """Bytes to and from a node are delayed."""
 
     node: str
-    for_s: float
+    duration_s: float
     delay_s: float
 
 
@@ -93,15 +94,15 @@
 
 
 @attrs.frozen
-class Silence:
-    """All open connections of a node carry nothing any more; new ones do."""
+class Blackhole:
+    """All open connections of a node drop all bytes; new ones work."""
 
     node: str
 
 
 @attrs.frozen
 class Crash:
-    """A backend server ends without a word, and another one comes."""
+    """A backend server ends without notice and is replaced by a new one."""
 
     server: int
     down_s: float
@@ -109,49 +110,49 @@
 
 @attrs.frozen
 class Drain:
-    """A backend server says that it leaves, and leaves."""
+    """A backend server drains, ends and is replaced by a new one."""
 
     server: int
 
 
 @attrs.frozen
 class Change:
-    """An operator changes the configuration, or two do at once."""
+    """The configuration is changed once, or by two changes at once."""
 
     racing: bool
 
 
 @attrs.frozen
-class LoseAnswers:
-    """Backend servers run requests and reset their connections, for a while."""
+class LoseResponses:
+    """For some time, servers run requests but lose part of the responses."""
 
     share: float
-    for_s: float
+    duration_s: float
 
 
 @attrs.frozen
 class DelayOrders:
-    """Servers leave orders unanswered and carry them out late, for a while."""
+    """For some time, servers carry out some orders late, without responding."""
 
     share: float
-    for_s: float
+    duration_s: float
 
 
 Fault = (
     Kill
-    | KillMany
+    | KillRole
     | Wipe
-    | Pause
+    | Freeze
     | Terminate
     | Reload
-    | Cut
+    | Partition
     | Delay
     | Reset
-    | Silence
+    | Blackhole
     | Crash
     | Drain
     | Change
-    | LoseAnswers
+    | LoseResponses
     | DelayOrders
 )
 
@@ -164,7 +165,7 @@
     coordinators: list[str],
     servers: int,
 ) -> list[tuple[float, Fault]]:
-    """Returns the faults of a run with their times, in seconds."""
+    """Returns the faults of a run with their start times, in seconds."""
     drawer = _Drawer(seed, gateways, coordinators, servers)
     plan: list[tuple[float, Fault]] = []
     at = 0.5
@@ -180,7 +181,7 @@
 
 
 class _Drawer:
-    """Draws faults; every fifth seed has planned work only."""
+    """Draws faults; every fifth seed has planned operations only."""
 
     def __init__(
         self,
@@ -197,12 +198,12 @@
         self.is_planned_only = seed % 5 == 0
 
     def draw_kinds(self) -> list[type]:
-        """Returns the kinds of one series; one kind often comes again."""
+        """Returns the kinds of faults of a series; kinds often repeat."""
         kinds: list[type] = [Terminate, Reload, Change, Drain]
         if not self.is_planned_only:
-            kinds += [Kill, KillMany, Wipe, Pause, Cut, Delay, Reset]
-            kinds += [Silence, Crash, Kill, Cut, Crash]
-            kinds += [LoseAnswers, DelayOrders]
+            kinds += [Kill, KillRole, Wipe, Freeze, Partition, Delay, Reset]
+            kinds += [Blackhole, Crash, Kill, Partition, Crash]
+            kinds += [LoseResponses, DelayOrders]
         first = self.rng.choice(kinds)
         return [
             first if self.rng.random() < 0.5 else self.rng.choice(kinds)
@@ -210,50 +211,50 @@
         ]
 
     def draw(self, kind: type, at: float) -> Fault:
-        """Returns a fault of a kind."""
+        """Returns a fault of a kind with drawn parameters."""
         rng = self.rng
         node = rng.choice(self._gateways + self._coordinators)
-        for_s = rng.uniform(0.3, 5.0)
+        duration_s = rng.uniform(0.3, 5.0)
         if kind is Wipe and at - self._wiped_at < WIPE_GAP_S:
             kind = Kill
         match kind.__name__:
             case "Kill":
-                return Kill(node, for_s, rng.random() < 0.3)
-            case "KillMany":
+                return Kill(node, duration_s, rng.random() < 0.3)
+            case "KillRole":
                 role = rng.choice(("gateway", "coordinator"))
-                return KillMany(role, rng.uniform(0.1, 1.0))
+                return KillRole(role, rng.uniform(0.1, 1.0))
             case "Wipe":
                 self._wiped_at = at
-                return Wipe(rng.choice(self._coordinators), for_s)
-            case "Pause":
-                return Pause(node, for_s)
+                return Wipe(rng.choice(self._coordinators), duration_s)
+            case "Freeze":
+                return Freeze(node, duration_s)
             case "Terminate":
                 return Terminate(node)
             case "Reload":
                 return Reload(node)
-            case "Cut":
-                way = rng.choice(("in", "out", "both"))
-                return Cut(self._draw_nodes(), for_s, way)
+            case "Partition":
+                direction = rng.choice(("in", "out", "both"))
+                return Partition(self._draw_nodes(), duration_s, direction)
             case "Delay":
-                return Delay(node, for_s, rng.uniform(0.01, 0.3))
+                return Delay(node, duration_s, rng.uniform(0.01, 0.3))
             case "Reset":
                 return Reset(node)
-            case "Silence":
-                return Silence(node)
+            case "Blackhole":
+                return Blackhole(node)
             case "Crash":
-                return Crash(rng.randrange(self._servers), for_s)
+                return Crash(rng.randrange(self._servers), duration_s)
             case "Drain":
                 return Drain(rng.randrange(self._servers))
-            case "LoseAnswers":
-                return LoseAnswers(rng.uniform(0.02, 0.2), for_s)
+            case "LoseResponses":
+                return LoseResponses(rng.uniform(0.02, 0.2), duration_s)
             case "DelayOrders":
-                return DelayOrders(rng.uniform(0.2, 0.6), for_s)
+                return DelayOrders(rng.uniform(0.2, 0.6), duration_s)
         return Change(rng.random() < 0.4)
 
     def _draw_nodes(self) -> tuple[str, ...]:
-        everyone = self._gateways + self._coordinators
+        node_names = self._gateways + self._coordinators
         if self.rng.random() < 0.3:
-            # A whole zone: nodes are named by it.
+            # All nodes of a zone; their names start with it.
             zone = self.rng.choice(("z1", "z2", "z3"))
-            return tuple(n for n in everyone if n.startswith(zone))
-        return (self.rng.choice(everyone),)
+            return tuple(n for n in node_names if n.startswith(zone))
+        return (self.rng.choice(node_names),)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -17,57 +17,57 @@
 from soak import world  # noqa: E402
 
 
-async def play(seed: int, seconds: float, folder: pathlib.Path, slot: int):
-    """Plays one seed; a harness that fails is a broken run, too."""
+async def run_seed(seed: int, seconds: float, folder: pathlib.Path, slot: int):
+    """Runs one seed; an error of the harness counts as a violation."""
     try:
-        return await world.World(seed, folder, slot).run(seconds)
-    except Exception as error:  # noqa: BLE001 - told with its place
+        return await world.Cluster(seed, folder, slot).run(seconds)
+    except Exception as error:  # noqa: BLE001 - reported with its place
         text = "".join(traceback.format_exception(error, limit=-3))
         empty = collections.Counter()
         return world.Result(seed, [f"harness: {text}"], empty, empty, empty)
 
 
-def tell(result) -> None:
-    """Prints one run."""
+def print_result(result) -> None:
+    """Prints the result of one run."""
     print(  # noqa: T201
-        f"seed {result.seed}: {len(result.broken)} broken,"
+        f"seed {result.seed}: {len(result.violations)} violations,"
         f" {sum(result.faults.values())} faults,"
-        f" answers {dict(sorted(result.outcomes.items()))}",
+        f" responses {dict(sorted(result.outcomes.items()))}",
         flush=True,
     )
-    for line in result.broken[:8]:
+    for line in result.violations[:8]:
         print(f"  {line}", flush=True)  # noqa: T201
 
 
 def main() -> int:
-    """Plays the seeds that the arguments name; fails if a promise broke."""
+    """Runs the given seeds; returns 1 if any invariant was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1, help="first seed")
-    parser.add_argument("--count", type=int, default=1, help="seeds")
+    parser.add_argument("--count", type=int, default=1, help="number of seeds")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--slot", type=int, default=0, help="address block")
     parser.add_argument("--keep", help="folder for the processes' logs")
     options = parser.parse_args()
-    # Ended from outside, it still ends the processes that it has started.
+    # Exits through SystemExit, so that the started processes are ended too.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     results = []
     for seed in range(options.first, options.first + options.count):
         with tempfile.TemporaryDirectory() as temporary:
             base = pathlib.Path(options.keep or temporary) / f"seed{seed}"
             result = asyncio.run(
-                play(seed, options.seconds, base, options.slot)
+                run_seed(seed, options.seconds, base, options.slot)
             )
         results.append(result)
-        tell(result)
+        print_result(result)
     faults, checked = collections.Counter(), collections.Counter()
     for result in results:
         faults += result.faults
         checked += result.checked
-    bad = [r.seed for r in results if r.broken]
+    failed = [r.seed for r in results if r.violations]
     print("faults:", dict(faults))  # noqa: T201
     print("checked:", dict(checked))  # noqa: T201
-    print(f"seeds: {len(results)} played, broken: {bad}")  # noqa: T201
-    return 1 if bad else 0
+    print(f"seeds: {len(results)} run, with violations: {failed}")  # noqa: T201
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/soak.feature
+++ b/tests/soak/soak.feature
@@ -1,8 +1,8 @@
-Feature: A soak of the real programs, with faults from outside
+Feature: Soak test of the real programs under injected faults
 
-  Scenario: A short seeded run breaks no promise
+  Scenario: A short seeded run violates no invariant
     Six processes, twelve backend servers and twelve callers on one machine.
-    Processes are killed, paused, stopped and started, connections cut, slowed,
-    silenced and reset, in series that overlap. What callers and backend
-    servers see is checked all the while, and that all serves again after it.
-    Then seed 3 of the soak breaks no promise in 6 s of faults
+    Overlapping series of faults kill, freeze, stop and restart processes and
+    partition, delay, blackhole and reset connections. The run checks what
+    callers and backend servers observe, also that requests succeed afterwards.
+    Then seed 3 of the soak violates no invariant in 6 s of faults
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""One run: the system, its callers and the faults, and what was seen."""
+"""One run: the cluster, its callers, the faults and the result."""
 
 from __future__ import annotations
 
@@ -12,94 +12,97 @@
 
 import attrs
 
-from soak import callers, engines, judge as judge_module, links, nodes, plan
+from soak import callers, checker as checker_module, engines, links, nodes, plan
 
-CALLERS = 12
-# All is joined and started again; after this much time it must serve.
+CALLER_COUNT = 12
+# The cluster must serve this long after the end of the last fault, when all
+# links work and all nodes run again.
 RECOVERY_S = 12.0
 START_LIMIT_S = 40.0
-PROBES = 30
+PROBE_COUNT = 30
 
 
 @attrs.define
 class Result:
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
         seed: Its seed.
-        broken: Promises that were broken, with details.
-        faults: How many of each kind came.
-        checked: How often each promise was looked at.
-        outcomes: Requests by status; 0 is no answer.
+        violations: Violated invariants, with details.
+        faults: Number of injected faults by kind.
+        checked: Number of checks by invariant.
+        outcomes: Number of requests by status; 0 is no response.
     """
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     faults: collections.Counter[str]
     checked: collections.Counter[str]
     outcomes: collections.Counter[int]
 
 
-class World:
-    """A small deployment of real processes."""
+class Cluster:
+    """A small cluster of real processes."""
 
     def __init__(self, seed: int, folder: pathlib.Path, slot: int) -> None:
-        """Makes a deployment; `run` starts it."""
+        """Makes a cluster; `run` starts it."""
         self.seed = seed
-        self.judge = judge_module.Judge()
+        self.checker = checker_module.Checker()
         self.links = links.Links()
         self._rng = random.Random(f"world {seed}")
         self._slot = slot
         self.nodes: dict[str, nodes.Node] = {}
         for number, zone in enumerate(nodes.ZONES):
-            for role, first in (("coordinator", 1), ("gateway", 11)):
+            for role, first_number in (("coordinator", 1), ("gateway", 11)):
                 name = f"{zone}-{role}"
                 self.nodes[name] = nodes.Node(
-                    name, role, zone, first + number, slot, folder / name
+                    name, role, zone, first_number + number, slot, folder / name
                 )
-        self._trouble = engines.Trouble(random.Random(f"trouble {seed}"))
+        self._server_faults = engines.ServerFaults(
+            random.Random(f"trouble {seed}")
+        )
         self.engines: dict[str, engines.Engine] = {}
         self._places: list[tuple[str, str]] = [
             (zone, domain)
             for zone in nodes.ZONES
             for domain in (f"{zone}-d", f"{zone}-d", f"{zone}-d", "")
         ]
-        self._at_place: list[engines.Engine | None] = [None] * len(self._places)
-        self._lives = 0
-        self._busy: set[str] = set()
-        self._open: set[tuple[str, int]] = set()
+        self._by_place: list[engines.Engine | None] = [None] * len(self._places)
+        self._engine_count = 0
+        self._restarting: set[str] = set()
+        self._proxied: set[tuple[str, int]] = set()
         self.faults: collections.Counter[str] = collections.Counter()
 
     @property
     def coordinators(self) -> list[nodes.Node]:
-        """The coordinators, in order."""
+        """The coordinators, ordered by zone."""
         return [n for n in self.nodes.values() if n.role == "coordinator"]
 
     @property
     def gateways(self) -> list[nodes.Node]:
-        """The gateways, in order."""
+        """The gateways, ordered by zone."""
         return [n for n in self.nodes.values() if n.role == "gateway"]
 
     async def run(self, seconds: float) -> Result:
-        """Plays the run of its seed."""
+        """Runs the cluster under the faults of its seed."""
         tasks: list[asyncio.Task] = []
         try:
             operator = await self._start()
             tasks = self._start_callers(operator)
-            await self._play(seconds, operator)
+            await self._inject_faults(seconds, operator)
             await self._recover(operator)
         finally:
             for task in tasks:
                 task.cancel()
-            await self._end()
-        self.judge.finish()
-        counted = collections.Counter(o.status for o in self.judge.outcomes)
+            await self._stop()
+        self.checker.finish()
+        counts = collections.Counter(o.status for o in self.checker.outcomes)
         return Result(
             self.seed,
-            self.judge.broken,
+            self.checker.violations,
             self.faults,
-            self.judge.checked,
-            counted,
+            self.checker.checked,
+            counts,
         )
 
     # Start and end.
@@ -109,24 +112,26 @@
         for node in self.nodes.values():
             for port in node.ports:
                 await self.links.open(node.ip, port, node.bind_ip)
-            node.write_settings(seeds, first=node.role == "coordinator")
+            node.write_settings(seeds, is_bootstrap=node.role == "coordinator")
             node.start()
         for place in range(len(self._places)):
             await self._add_server(place)
-        operator = callers.Operator(self.coordinators, self.judge, self._rng)
+        operator = callers.Operator(self.coordinators, self.checker, self._rng)
         await operator.change()
-        probe = callers.Caller("p", self.gateways, self.judge, self._rng)
-        good = 0
-        ends = time.monotonic() + START_LIMIT_S
-        while good < 15:
+        probe = callers.Caller("p", self.gateways, self.checker, self._rng)
+        successes = 0
+        deadline = time.monotonic() + START_LIMIT_S
+        while successes < 15:
             outcome = await probe.call()
-            good = good + 1 if outcome.status == 200 else 0
-            if time.monotonic() > ends:
-                raise TimeoutError("the system did not begin to serve")
+            successes = successes + 1 if outcome.status == 200 else 0
+            if time.monotonic() > deadline:
+                raise TimeoutError(
+                    f"the cluster did not serve within {START_LIMIT_S} s"
+                )
             await asyncio.sleep(0.05)
         for node in self.coordinators:
-            # Only the very first start may found the log.
-            node.write_settings(seeds, first=False)
+            # Only the first start may bootstrap the consensus log.
+            node.write_settings(seeds, is_bootstrap=False)
         return operator
 
     def _start_callers(self, operator: callers.Operator) -> list[asyncio.Task]:
@@ -134,31 +139,33 @@
             callers.Caller(
                 f"c{n}",
                 self.gateways,
-                self.judge,
+                self.checker,
                 random.Random(f"{self.seed} {n}"),
             ).run()
-            for n in range(CALLERS)
+            for n in range(CALLER_COUNT)
         ]
         return [asyncio.ensure_future(w) for w in (*working, operator.run())]
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for node in self.nodes.values():
-            self._check_own_end(node)
+            self._check_unexpected_exit(node)
             await node.kill()
         for engine in self.engines.values():
             if engine.alive:
                 engine.crash()
         self.links.close()
 
-    def _check_own_end(self, node: nodes.Node) -> None:
-        code = node.find_own_end()
+    def _check_unexpected_exit(self, node: nodes.Node) -> None:
+        code = node.get_unexpected_exit_code()
         if code is not None:
-            self.judge.complain("no end of its own", f"{node.name}: {code}")
+            self.checker.report_violation(
+                "no unexpected exit", f"{node.name}: {code}"
+            )
 
     async def _add_server(self, place: int) -> None:
         zone, domain = self._places[place]
-        self._lives += 1
-        name = f"s{place}-{self._lives}"
+        self._engine_count += 1
+        name = f"s{place}-{self._engine_count}"
         ips = [f"127.{78 + self._slot}.{block}.{place + 1}" for block in (3, 4)]
         own = [n for n in self.coordinators if n.zone == zone]
         others = [n for n in self.coordinators if n.zone != zone]
@@ -169,20 +176,22 @@
             zone=zone,
             domain=domain,
             controls=[f"{n.ip}:{nodes.CONTROL_PORT}" for n in (*own, *others)],
-            judge=self.judge,
-            trouble=self._trouble,
-            everyone=self.engines,
+            checker=self.checker,
+            faults=self._server_faults,
+            all_engines=self.engines,
         )
-        if (ips[0], engines.PORT) not in self._open:
-            self._open.add((ips[0], engines.PORT))
+        if (ips[0], engines.PORT) not in self._proxied:
+            self._proxied.add((ips[0], engines.PORT))
             await self.links.open(ips[0], engines.PORT, ips[1])
         self.engines[name] = engine
-        self._at_place[place] = engine
+        self._by_place[place] = engine
         await engine.start()
 
     # Faults.
 
-    async def _play(self, seconds: float, operator: callers.Operator) -> None:
+    async def _inject_faults(
+        self, seconds: float, operator: callers.Operator
+    ) -> None:
         began = time.monotonic()
         drawn = plan.draw_plan(
             self.seed,
@@ -191,61 +200,63 @@
             coordinators=[n.name for n in self.coordinators],
             servers=len(self._places),
         )
-        acting = set()
+        injections = set()
         for at, fault in drawn:
             await asyncio.sleep(max(0.0, began + at - time.monotonic()))
             for node in self.nodes.values():
-                self._check_own_end(node)
+                self._check_unexpected_exit(node)
             self.faults[type(fault).__name__] += 1
-            acting.add(asyncio.ensure_future(self._act(fault, operator)))
-        await asyncio.gather(*acting)
+            injections.add(asyncio.ensure_future(self._inject(fault, operator)))
+        await asyncio.gather(*injections)
 
-    async def _act(self, fault: plan.Fault, operator: callers.Operator) -> None:
+    async def _inject(
+        self, fault: plan.Fault, operator: callers.Operator
+    ) -> None:
         match fault:
             case plan.Kill(name, down_s, torn):
                 await self._restart(self.nodes[name], down_s, torn=torn)
-            case plan.KillMany(role, down_s):
+            case plan.KillRole(role, down_s):
                 hit = [n for n in self.nodes.values() if n.role == role]
                 await asyncio.gather(*(self._restart(n, down_s) for n in hit))
             case plan.Wipe(name, down_s):
                 await self._restart(self.nodes[name], down_s, wiped=True)
             case plan.Terminate(name):
                 await self._restart(self.nodes[name], 0.3, planned=True)
-            case plan.Pause(name, for_s):
-                self.nodes[name].send(signal.SIGSTOP)
-                await asyncio.sleep(for_s)
-                self.nodes[name].send(signal.SIGCONT)
+            case plan.Freeze(name, duration_s):
+                self.nodes[name].send_signal(signal.SIGSTOP)
+                await asyncio.sleep(duration_s)
+                self.nodes[name].send_signal(signal.SIGCONT)
             case plan.Reload(name):
-                self.nodes[name].send(signal.SIGHUP)
-            case plan.Cut(names, for_s, way):
-                await self._cut(names, for_s, way)
-            case plan.Delay(name, for_s, delay_s):
+                self.nodes[name].send_signal(signal.SIGHUP)
+            case plan.Partition(names, duration_s, direction):
+                await self._partition(names, duration_s, direction)
+            case plan.Delay(name, duration_s, delay_s):
                 ips = frozenset({self.nodes[name].bind_ip})
-                await self._rule(
-                    for_s,
+                await self._apply_rules(
+                    duration_s,
                     links.Rule(ips, None, delay_s),
                     links.Rule(None, ips, delay_s),
                 )
             case plan.Reset(name):
                 for found in self._find_connections(name):
                     found.reset()
-            case plan.Silence(name):
+            case plan.Blackhole(name):
                 for found in self._find_connections(name):
-                    found.is_silent = True
+                    found.is_blackholed = True
             case plan.Crash(place, down_s):
                 await self._replace_server(place, down_s)
             case plan.Drain(place):
                 await self._retire_server(place)
             case plan.Change(racing):
                 await operator.change(racing=racing)
-            case plan.LoseAnswers(share, for_s):
-                self._trouble.lost_share = share
-                await asyncio.sleep(for_s)
-                self._trouble.lost_share = 0.0
-            case plan.DelayOrders(share, for_s):
-                self._trouble.late_share = share
-                await asyncio.sleep(for_s)
-                self._trouble.late_share = 0.0
+            case plan.LoseResponses(share, duration_s):
+                self._server_faults.lost_response_share = share
+                await asyncio.sleep(duration_s)
+                self._server_faults.lost_response_share = 0.0
+            case plan.DelayOrders(share, duration_s):
+                self._server_faults.late_order_share = share
+                await asyncio.sleep(duration_s)
+                self._server_faults.late_order_share = 0.0
 
     def _find_connections(self, name: str) -> list[links.Connection]:
         return self.links.find(frozenset({self.nodes[name].bind_ip}))
@@ -259,39 +270,39 @@
         wiped: bool = False,
         planned: bool = False,
     ) -> None:
-        if node.name in self._busy:
-            # It is down already, and comes back by the fault before.
+        if node.name in self._restarting:
+            # It is down already; the previous fault restarts it.
             return
-        self._busy.add(node.name)
+        self._restarting.add(node.name)
         await (node.stop() if planned else node.kill())
         if torn:
-            node.tear()
+            node.tear_journal()
         if wiped:
             node.wipe()
         await asyncio.sleep(down_s)
         node.start()
-        self._busy.discard(node.name)
+        self._restarting.discard(node.name)
 
-    async def _cut(
-        self, names: tuple[str, ...], for_s: float, way: str
+    async def _partition(
+        self, names: tuple[str, ...], duration_s: float, direction: str
     ) -> None:
         ips = frozenset(self.nodes[name].bind_ip for name in names)
         rules = []
-        if way in ("out", "both"):
+        if direction in ("out", "both"):
             rules.append(links.Rule(ips, None, math.inf))
-        if way in ("in", "both"):
+        if direction in ("in", "both"):
             rules.append(links.Rule(None, ips, math.inf))
-        await self._rule(for_s, *rules)
+        await self._apply_rules(duration_s, *rules)
 
-    async def _rule(self, for_s: float, *rules: links.Rule) -> None:
+    async def _apply_rules(self, duration_s: float, *rules: links.Rule) -> None:
         for rule in rules:
             self.links.add(rule)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         for rule in rules:
             self.links.remove(rule)
 
     async def _replace_server(self, place: int, down_s: float) -> None:
-        engine, self._at_place[place] = self._at_place[place], None
+        engine, self._by_place[place] = self._by_place[place], None
         if engine is None:
             return
         engine.crash()
@@ -299,29 +310,31 @@
         await self._add_server(place)
 
     async def _retire_server(self, place: int) -> None:
-        engine, self._at_place[place] = self._at_place[place], None
+        engine, self._by_place[place] = self._by_place[place], None
         if engine is None:
             return
-        await engine.leave()
+        await engine.drain_and_stop()
         await asyncio.sleep(0.5)
         await self._add_server(place)
 
     # Recovery.
 
     async def _recover(self, operator: callers.Operator) -> None:
-        """Checks that all serves again once the faults are over."""
+        """Checks that the cluster serves again after the last fault."""
         await asyncio.sleep(RECOVERY_S)
         version = await operator.read()
-        if version < max(1, self.judge.acknowledged):
-            self.judge.complain("a read after recovery", f"gives {version}")
+        if version < max(1, self.checker.acknowledged):
+            self.checker.report_violation(
+                "read after recovery", f"returned {version}"
+            )
         for gateway in self.gateways:
             probe = callers.Caller(
-                f"r{gateway.number}", [gateway], self.judge, self._rng
+                f"r{gateway.number}", [gateway], self.checker, self._rng
             )
-            found = [await probe.call() for _ in range(PROBES)]
+            found = [await probe.call() for _ in range(PROBE_COUNT)]
             bad = [o for o in found if o.status != 200]
-            if len(bad) > PROBES // 10:
+            if len(bad) > PROBE_COUNT // 10:
                 statuses = [o.status for o in bad]
-                self.judge.complain(
-                    "it serves after recovery", f"{gateway.name}: {statuses}"
+                self.checker.report_violation(
+                    "serving after recovery", f"{gateway.name}: {statuses}"
                 )
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes at the interfaces, and checkers, shared by the tests."""
+"""Fakes and checkers that the tests share."""
