--- /dev/null
+++ b/tests/crashes/crash_guard.feature
@@ -0,0 +1,79 @@
+Feature: Runs that a gateway reports as lost, and requests that it blocks
+
+  Scenario Outline: A run without a complete response is reported
+    This holds for each kind of request, and also if the run ended because its
+    caller disconnected or its time ran out while its replica sent nothing: a
+    server that loses power closes no connection.
+    Given a gateway with 3 replicas of each kind
+    When <event>
+    Then the gateway reports 1 lost run to its home coordinator
+
+    Examples:
+      | event                                                        |
+      | a call that may run once is reset                            |
+      | an idempotent call is reset and then completed               |
+      | a stream is reset after 3 events and then continues          |
+      | the caller of a call disconnects after 0.6 silent seconds    |
+      | a call that may run once gets no response in its time        |
+
+  Scenario Outline: A run that is no evidence against its server is not reported
+    Given a gateway with 3 replicas of each kind
+    When <event>
+    Then the gateway reports 0 lost runs to its home coordinator
+
+    Examples:
+      | event                                                |
+      | a call is refused as not run by every replica        |
+      | an idempotent call fails with status 500             |
+      | the caller of a call disconnects after 0.1 seconds   |
+      | the caller of a stream that progresses disconnects   |
+      | a call that was completed before is reset            |
+
+  Scenario: A lost run is reported twice, and again to another home coordinator
+    Given a gateway with 3 replicas of each kind
+    When a call that may run once is reset
+    Then it is reported to a home at once, once more 1.5 seconds later, no more
+    And it is reported to another home at once
+
+  Scenario: Submissions of a request that lost a run are sent one at a time
+    In parallel, each could crash a server before the first loss is recorded.
+    Given a gateway with 3 replicas of each kind
+    When a call that may run once is reset
+    Then 1 of 2 more submissions of it is sent at once
+
+  Scenario: A response after a lost run allows parallel submissions again
+    Given a gateway with 3 replicas of each kind
+    When an idempotent call is reset and then completed
+    Then 2 of 2 more submissions of it are sent at once
+
+  Scenario: The records of a gateway are bounded
+    Given a gateway with 3 replicas of each kind
+    When 5000 requests are completed and 5000 runs are lost
+    Then it keeps 2048 completed requests and 512 lost runs, in less than 1 MB
+    And 31 seconds later no lost run is kept
+
+  Scenario: A request that is blocked while it runs is not retried
+    It may have run, so its caller must not get a refusal as not run.
+    Given a gateway with 3 replicas of each kind
+    When an idempotent call runs, is blocked and then reset
+    Then it was sent once and ends with status 502
+
+  Scenario: A stream that is blocked after its first events is aborted
+    Given a gateway with 3 replicas of each kind
+    When a stream has 3 events, is blocked and then reset
+    Then the response is aborted and does not look complete
+
+  Scenario: A blocked request that waits for a replica is refused at once
+    Given a gateway with 0 replicas of each kind
+    When a call waits for a replica and is blocked
+    Then it ends with status 503 and a retry time
+
+  Scenario: A block expires at a gateway that receives no more updates
+    Given a gateway with 3 replicas of each kind
+    When a call is blocked for 20 seconds
+    Then it is refused until then, and sent after it
+
+  Scenario: Another caller's request, or one with another body, is not blocked
+    Given a gateway with 3 replicas of each kind
+    When a call is blocked for 20 seconds
+    Then the same body on another path, and another body, are sent
--- a/tests/limits/allocator.feature
+++ b/tests/limits/allocator.feature
@@ -1,13 +1,14 @@
-Feature: The permits that coordinators give out
+Feature: Permits that coordinators grant
 
-  Gateways may use a permit at any moment of its lease. So all that are valid in
-  a window may be used in it: those that were given out before it, too.
+  Gateways may use a permit at any moment of its lease. The permits that may be
+  used in a window are therefore all that are valid in it, also those that were
+  granted before it.
 
-  Scenario Outline: One coordinator gives out no more than any window allows
+  Scenario Outline: One coordinator grants no more than any window allows
     Given a limit of <limit> a second that has just been named
-    When gateways ask one coordinator for all they can get for 30 seconds
-    Then no window of 4 seconds sees more requests than the limit allows
-    And all that the server takes is given out
+    When gateways request all they can get from one coordinator for 30 seconds
+    Then no window of 4 seconds has more requests than the limit allows
+    And all that the server accepts is granted
 
     Examples:
       | limit |
@@ -17,13 +18,13 @@
       | 20    |
       | 100   |
 
-  Scenario Outline: A coordinator that takes over gives out nothing twice
-    The new one begins while the gateways of the old one still ask that, for as
-    long as it takes to find a coordinator lost.
+  Scenario Outline: A coordinator that takes over grants nothing twice
+    The new one begins while the gateways of the old one still send it requests,
+    for as long as it takes to detect the failure of a coordinator.
     Given a limit of <limit> a second that has just been named
-    When gateways ask one coordinator for all they can get for 10 seconds
-    And another one takes over, while the first is asked for 1.3 seconds more
-    Then no window of 4 seconds sees more requests than the limit allows
+    When gateways request all they can get from one coordinator for 10 seconds
+    And another one takes over, while the first gets requests for 1.3 seconds more
+    Then no window of 4 seconds has more requests than the limit allows
 
     Examples:
       | limit |
@@ -32,12 +33,12 @@
       | 20    |
       | 100   |
 
-  Scenario Outline: Coordinators that hear no leader share the limit
-    A network that is cut in the middle has a coordinator in charge on either
-    side, and gateways that reach the server on both.
+  Scenario Outline: Coordinators without a leader share the limit
+    A partitioned network has an owner of the server's domain on either side.
+    Gateways on both sides reach the server.
     Given a limit of <limit> a second that has just been named
-    When gateways ask two coordinators without a leader for 30 seconds
-    Then no window of 4 seconds sees more requests than the limit allows
+    When gateways request from two coordinators without a leader for 30 seconds
+    Then no window of 4 seconds has more requests than the limit allows
 
     Examples:
       | limit |
@@ -46,17 +47,17 @@
       | 20    |
       | 100   |
 
-  Scenario: A limit that was just named is served from the first moment
+  Scenario: Permits for a limit that was just named are granted at once
     Given a limit of 4 a second that has just been named
-    When gateways ask one coordinator for all they can get for 0.1 seconds
-    Then 3 permits were given out
+    When gateways request all they can get from one coordinator for 0.1 seconds
+    Then 3 permits were granted
 
-  Scenario: Requests with nowhere else to go get the permits
+  Scenario: Requests that no other server can take get the permits first
     Given a limit of 4 a second that has just been named
-    When gateways ask for all they can get, and one needs one each 0.35 seconds
+    When gateways request all they can get, and one needs one each 0.35 seconds
     Then over 20 seconds that one gets all it needs, and the others the rest
 
-  Scenario: Permits that come back are given out again
+  Scenario: Returned permits are granted again
     Given a limit of 4 a second that has just been named
-    When a gateway gives 2 permits back that it did not use
+    When a gateway returns 2 permits that it did not use
     Then another one gets 2 more at the same moment
--- a/tests/limits/limits.feature
+++ b/tests/limits/limits.feature
@@ -1,27 +1,22 @@
-Feature: Servers that name how many requests they take
+Feature: Servers that name a rate limit
 
   Scenario: A server that names a limit gets no more from all gateways together
-    Two servers in need told with each answer that they take one request a
-    second from all gateways. They went on getting 4.5 a second, as before, in
-    first tries from all gateways that had told their callers of it. Gateways
-    passed the limit on with the answer and chose replicas by slots and load
-    alone; none read it, and none knew what the others sent.
-    The evidence: in the logs each gateway's part of the requests and what it
-    estimated for these servers stay the same when the limit is named, and one
-    gateway alone sent more than it allows to all. Here nothing else differs
-    between these servers and others, and they got 30 requests in 4 seconds.
+    Two servers state in each response that they accept one request a second
+    from all gateways together. If gateways passed the limit on to callers but
+    chose replicas by slots and load alone, without regard to what the others
+    send, the servers would continue to get 4.5 requests a second.
     Given gateways with 24 replicas' servers and callers
     When two heads name a limit of 1 a second for 16 seconds
     Then from 3 seconds after that neither gets over 11 requests in 4 seconds
 
   Scenario Outline: The limit holds for any number of gateways, and is used
-    Each gateway has only a fraction of a request a second for such a server: a
-    part of the limit for each would be used by none of them, and one request
-    for each would be many times the limit.
+    Each gateway has only a fraction of a request a second for such a server. If
+    each got an equal part of the limit, none could use it; if each could send
+    one request, the limit would be exceeded many times.
     Given <gateways> gateways with 24 replicas' servers and callers
     When a head names a limit of <limit> a second for 20 seconds
-    Then it never gets more than it takes, from 3 seconds after that
-    And it gets at least half of what it takes
+    Then it never gets more than it accepts, from 3 seconds after that
+    And it gets at least half of what it accepts
     And no request is refused
 
     Examples:
@@ -34,14 +29,13 @@
       | 72       | 1     |
       | 72       | 3     |
 
-  Scenario Outline: What the servers take is served, and the rest refused at once
-    All replicas name a limit, and callers ask for more than that. Those that
-    can't be served are told when to come back, before half of the time in
-    which they want an answer has passed.
+  Scenario Outline: Requests up to the limit are served, the rest refused at once
+    All replicas name a limit, and callers send more requests than that. The
+    refused ones get a retry time before half of their objective has passed.
     Given <gateways> gateways with 24 replicas' servers and callers
     When all heads name a limit of 3 a second for 20 seconds
-    Then none ever gets more than it takes, from 3 seconds after that
-    And together they get nine tenths of what they take
+    Then none ever gets more than it accepts, from 3 seconds after that
+    And together they get nine tenths of what they accept
     And the rest is refused as not run within half of its objective
 
     Examples:
@@ -50,8 +44,8 @@
       | 24       |
       | 72       |
 
-  Scenario Outline: Limits above what callers ask for hold nobody up
-    A request that finds no permit asks for one and waits for the reply.
+  Scenario Outline: Limits above the demand delay no request
+    A request for which there is no permit requests one and waits for the reply.
     Given <gateways> gateways with 24 replicas' servers and callers
     When all heads name a limit of 16 a second for 20 seconds
     Then no request is refused
@@ -63,43 +57,43 @@
       | 6        |
       | 72       |
 
-  Scenario: A server whose need is over is used as before
+  Scenario: A server that names no limit any more is used as before
     Given gateways with 24 replicas' servers and callers
     When a head names a limit of 1 a second for 10 seconds
     And it names none any more for 8 seconds
     Then from 3 seconds after that it gets over 2 requests a second
 
   Scenario Outline: The limit holds through faults of the nodes
-    The nodes that gave out or held permits restart, freeze or are cut off. Those
-    that take over may not give out what the others gave out already.
+    The nodes that granted or held permits restart, freeze or are partitioned.
+    Those that take over must not grant again what the others granted already.
     Given <gateways> gateways with 24 replicas' servers and callers
     When two heads name a limit of 2 a second while <fault>
-    Then none ever gets more than it takes, from 3 seconds after that
+    Then none ever gets more than it accepts, from 3 seconds after that
 
     Examples:
-      | gateways | fault                                                 |
-      | 6        | a gateway starts again                                |
-      | 6        | the coordinators start again one after the other      |
-      | 6        | all coordinators start again                          |
-      | 6        | the coordinator in charge is lost for 5 seconds       |
-      | 6        | the coordinator in charge is frozen for 5 seconds     |
-      | 6        | the coordinators are cut from each other              |
-      | 6        | a zone is cut off                                     |
-      | 6        | all coordinators are lost                             |
-      | 24       | the coordinator in charge is lost for 5 seconds       |
-      | 24       | the coordinators are cut from each other              |
-      | 24       | all coordinators are lost                             |
-      | 72       | the coordinators start again one after the other      |
-      | 72       | all coordinators are lost                             |
+      | gateways | fault                                             |
+      | 6        | a gateway restarts                                |
+      | 6        | the coordinators restart one after the other      |
+      | 6        | all coordinators restart                          |
+      | 6        | the owner is stopped for 5 seconds                |
+      | 6        | the owner is frozen for 5 seconds                 |
+      | 6        | the coordinators are partitioned from each other  |
+      | 6        | a zone is isolated                                |
+      | 6        | all coordinators are stopped                      |
+      | 24       | the owner is stopped for 5 seconds                |
+      | 24       | the coordinators are partitioned from each other  |
+      | 24       | all coordinators are stopped                      |
+      | 72       | the coordinators restart one after the other      |
+      | 72       | all coordinators are stopped                      |
 
   Scenario Outline: Without any coordinator, servers are still used
-    All replicas name a limit, and no coordinator runs. Each gateway knows how
-    many there are, and sends its part of the limit. All of them begin with that
-    at the same time.
+    All replicas name a limit, and no coordinator runs. Each gateway has the
+    number of gateways, and sends its part of the limit. All of them start to do
+    so at the same time.
     Given <gateways> gateways with 24 replicas' servers and callers
-    When all heads name a limit of <limit> a second while all coordinators are lost
-    Then none ever gets more than it takes, from 3 seconds after that
-    And each gets a third of what it takes while no coordinator runs
+    When all heads name a limit of <limit> a second while all coordinators are stopped
+    Then none ever gets more than it accepts, from 3 seconds after that
+    And each gets a third of what it accepts while no coordinator runs
 
     Examples:
       | gateways | limit |
@@ -108,22 +102,23 @@
       | 72       | 0.5   |
       | 72       | 3     |
 
-  Scenario: Gateways that have a coordinator again send nothing of their own
-    While no coordinator ran, none of them had a request to send. Each has saved
-    a part of one since; all of those at once would be many times the limit.
+  Scenario: Gateways with a coordinator again do not use their saved local share
+    While no coordinator ran, none of them had a request to send, and each has
+    accumulated a part of a request. All of these used at the same time would
+    exceed the limit many times.
     Given 72 gateways with 24 replicas' servers and callers
     When all heads name a limit of 0.5 a second for 6 seconds
-    And no coordinator runs for 40 seconds in which nobody asks anything
-    And each gateway is asked once, 5 seconds after they are back
+    And no coordinator runs for 40 seconds in which there are no requests
+    And each gateway gets one request, 5 seconds after they are back
     Then none gets more than 8 of these requests
 
-  Scenario: A gateway that starts knows at once which servers name a limit
+  Scenario: A restarted gateway receives the limits at once
     Given gateways with 24 replicas' servers and callers
     When two heads name a limit of 1 a second for 8 seconds
-    And a gateway starts again with the limits in force
-    Then it knows the limits as soon as it knows the servers
+    And a gateway restarts with the limits in force
+    Then it has the limits as soon as it has the servers
 
-  Scenario: Random schedules of faults keep the limit
-    Nodes are lost, frozen and cut off one after the other, before those that
-    took over have settled.
+  Scenario: The limit holds in random schedules of faults
+    Nodes are stopped, frozen and partitioned one after the other, before those
+    that took over have settled.
     Then random schedules 0 to 7 of faults keep the limit
--- a/tests/notices/notices.feature
+++ b/tests/notices/notices.feature
@@ -1,14 +1,15 @@
-Feature: What servers say with an answer about requests to come
+Feature: Pauses and leave notices in responses of servers
 
-  Scenario: A server that asks for a pause gets no requests in it
-    It turns requests away and says for how long it wants none from a gateway.
+  Scenario: A server that asks for a pause gets no requests during the pause
+    It refuses requests and names the time in which it accepts none from a
+    gateway.
     Given a fleet of 6 gateways and 24 servers with callers
-    When two heads turn requests away and ask for 3 seconds, for 8 seconds
+    When two heads refuse requests and ask for 3 seconds, for 8 seconds
     Then no gateway sends over 2 requests in a pause that it was asked for
 
-  Scenario Outline: A pause costs callers nothing while others have free slots
+  Scenario Outline: A pause causes no refusals while other servers have free slots
     Given a fleet of <gateways> gateways and 24 servers with callers
-    When two heads turn requests away and ask for 3 seconds, for 8 seconds
+    When two heads refuse requests and ask for 3 seconds, for 8 seconds
     Then no gateway sends over 2 requests in a pause that it was asked for
     And no request was refused
 
@@ -18,21 +19,21 @@
       | 24       |
       | 72       |
 
-  Scenario Outline: Requests that all servers turn away are refused at once
-    Each is told when the first server takes requests again.
+  Scenario Outline: Requests that all servers refuse are refused at once
+    The refusal states when the first server accepts requests again.
     Given a fleet of <gateways> gateways and 24 servers with callers
-    When all heads turn requests away and ask for 3 seconds, for 8 seconds
+    When all heads refuse requests and ask for 3 seconds, for 8 seconds
     Then no gateway sends over 2 requests in a pause that it was asked for
-    And each refused request got 503 and a time to come back within its objective
+    And each refused request got 503 and a retry time within its objective
 
     Examples:
       | gateways |
       | 6        |
       | 24       |
 
-  Scenario Outline: Refusals that name no time cost callers nothing, either
+  Scenario Outline: Refusals that name no time cause no refusals to callers
     Given a fleet of <gateways> gateways and 24 servers with callers
-    When two heads turn requests away and name no time, for 8 seconds
+    When two heads refuse requests without a time, for 8 seconds
     Then no request was refused
     And no gateway sends one of them over <most> requests
 
@@ -42,37 +43,38 @@
       | 24       | 10   |
       | 72       | 10   |
 
-  Scenario: A server that turned requests away without a time is used again
+  Scenario: A server that refused requests without a time is used again
     Given a fleet of 6 gateways and 24 servers with callers
-    When two heads turn requests away and name no time, for 2 seconds
-    And they take requests again for 6 seconds
+    When two heads refuse requests without a time, for 2 seconds
+    And they accept requests again for 6 seconds
     Then each of them gets over 2 requests a second from 2 seconds after that
 
   Scenario: A server is used again when its pause is over
     Given a fleet of 6 gateways and 24 servers with callers
-    When two heads turn requests away and ask for 1 seconds, for 0.5 seconds
-    And they take requests again for 4 seconds
+    When two heads refuse requests and ask for 1 seconds, for 0.5 seconds
+    And they accept requests again for 4 seconds
     Then each of them gets over 2 requests a second from 1.2 seconds after that
 
-  Scenario: A pause that one gateway was asked for binds no other
-    The others prefer replicas that turned nobody away, if there are any.
+  Scenario: A pause that one gateway was asked for does not bind the others
+    The others prefer replicas that did not refuse requests, if there are any.
     Given a fleet of 6 gateways and 24 servers with callers
-    When all heads turn requests of one gateway away and ask for 3 seconds
+    When all heads refuse requests of one gateway and ask for 3 seconds
     Then the other gateways send them over 15 requests a second meanwhile
 
-  Scenario: One refusal is enough for all gateways
+  Scenario: After one refusal the other gateways avoid the server
     Given a fleet of 24 gateways and 24 servers with callers
-    When a head turns requests of one gateway away and asks for 3 seconds
+    When a head refuses requests of one gateway and asks for 3 seconds
     Then the other gateways send it nothing from 0.1 seconds after that
 
-  Scenario: A gateway that starts knows which servers turn requests away
+  Scenario: A restarted gateway receives which servers refuse requests
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head turns requests of one gateway away and asks for 30 seconds
-    And another gateway starts again and is asked 40 requests
+    When a head refuses requests of one gateway and asks for 30 seconds
+    And another gateway restarts and gets 40 requests
     Then none of them reaches that head
 
-  Scenario: Gateways that can't afford a refusal leave a server in doubt alone
-    The pause is over, and nobody knows whether the server takes requests again.
+  Scenario: Gateways without retries do not use a server on probation
+    The pause is over, but whether the server accepts requests is unknown, and
+    the gateway can't afford another refusal.
     Given a gateway with 3 plain replicas
     When a replica's pause is over and no retries are left
     Then no call is sent to it while the others have free slots
@@ -80,147 +82,148 @@
 
   Scenario Outline: Pauses are kept through faults of the nodes
     Given a fleet of 6 gateways and 24 servers with callers
-    When two heads turn requests away and ask for 3 seconds while <fault>
+    When two heads refuse requests and ask for 3 seconds while <fault>
     Then no gateway sends over 2 requests in a pause that it was asked for
 
     Examples:
       | fault                                             |
-      | the coordinators start again one after the other  |
-      | all coordinators start again                      |
-      | the coordinators are cut from each other          |
-      | a zone is cut off                                 |
-      | all coordinators are lost                         |
+      | the coordinators restart one after the other      |
+      | all coordinators restart                          |
+      | the coordinators are partitioned from each other  |
+      | a zone is isolated                                |
+      | all coordinators are stopped                      |
 
-  Scenario: A gateway that starts again heeds the first refusal
+  Scenario: A restarted gateway keeps a pause from the first refusal on
     Given a fleet of 6 gateways and 24 servers with callers
-    When two heads turn requests away and ask for 3 seconds while a gateway starts again
+    When two heads refuse requests and ask for 3 seconds while a gateway restarts
     Then no gateway sends over 2 requests in a pause that it was asked for since
 
-  Scenario: Random schedules of faults keep pauses
+  Scenario: Pauses are kept in random schedules of faults
     Then random schedules 0 to 7 of faults keep pauses
 
-  Scenario: Replicas that have stopped are no reason to break a pause
-    With nothing better, stalled replicas are tried.
+  Scenario: A pause is kept when the other replicas have stopped
+    Stalled replicas are tried if there is nothing better.
     Given a gateway with 3 plain replicas
     When a replica asks for 3 seconds and the others can't be reached
     Then no call is sent to the first one for 3 seconds
 
   Scenario: A request waits for the end of a short pause
     Given a gateway with 1 plain replicas
-    When the replica asks for a pause of 0.02 seconds and a call comes
+    When the replica asks for a pause of 0.02 seconds and a call arrives
     Then that call is sent when the pause is over
 
-  Scenario: A longer pause is not cut short by a later answer
+  Scenario: A later response does not shorten a pause
     Given a gateway with 1 plain replicas
     When the replica asks for 3 seconds and then for 0.1 seconds
     Then no call is sent to the first one for 3 seconds
 
-  Scenario: A refusal of another request tells of a pause as well
+  Scenario: A pause in a refusal of another request counts as well
     Given a gateway with 1 plain replicas
-    When an answer to another request asks for a pause of 3 seconds
+    When a response to another request asks for a pause of 3 seconds
     Then no call is sent to the first one for 3 seconds
 
-  Scenario: The next life of a server is not paused
+  Scenario: The next incarnation of a server is not paused
     Given a gateway with 1 plain replicas
-    When the replica asks for 3 seconds and starts again under its id
+    When the replica asks for 3 seconds and restarts under its id
     Then a call is sent to it at once
 
-  Scenario: A late answer of a former life does not pause the next one
+  Scenario: A late response of the previous incarnation does not pause the next
     Given a gateway with 1 plain replicas
-    When the replica starts again under its id and then a pause of its former life comes
+    When the replica restarts under its id and a pause of its previous incarnation arrives
     Then a call is sent to it at once
 
-  Scenario: A late answer of a former life does not end the pause of the next one
+  Scenario: A late response of the previous incarnation ends no pause of the next
     Given a gateway with 1 plain replicas
-    When the next life of the replica asks for 3 seconds and its former one for less
+    When the replica's next incarnation asks for 3 seconds and its previous one for less
     Then no call is sent to the first one for 3 seconds
 
   Scenario: The number of notices is bounded
     Then 5000 servers that ask for a pause leave 1024 notices of each kind
-    And none is left when no server is in doubt any more
+    And none is left when no server is on probation any more
 
-  Scenario: A server that says that it leaves gets no new requests
-    Its answers say so; its heartbeats do not.
+  Scenario: A server that announces that it leaves gets no new requests
+    Its responses say so; its heartbeats do not.
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head says with its answers that it leaves, for 8 seconds
-    Then no gateway sends it a request that came 2 seconds after it was told
+    When a head announces in its responses that it leaves, for 8 seconds
+    Then no gateway sends it a request that arrived 2 seconds after the notice
 
-  Scenario Outline: A leaving server gets nothing new through faults of the nodes
+  Scenario Outline: A leaving server gets no new requests through faults of the nodes
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head says with its answers that it leaves while <fault>
-    Then no gateway sends it a request that came 2 seconds after it was told
+    When a head announces in its responses that it leaves while <fault>
+    Then no gateway sends it a request that arrived 2 seconds after the notice
 
     Examples:
       | fault                                             |
-      | the coordinators start again one after the other  |
-      | all coordinators start again                      |
-      | the coordinators are cut from each other          |
-      | a zone is cut off                                 |
-      | all coordinators are lost                         |
-
-  Scenario: A leaving server that control nodes forgot and know again is not used
-    It was cut off from them for over a minute, so nobody knows it any more.
+      | the coordinators restart one after the other      |
+      | all coordinators restart                          |
+      | the coordinators are partitioned from each other  |
+      | a zone is isolated                                |
+      | all coordinators are stopped                      |
+
+  Scenario: A leaving server that control nodes removed and list again is not used
+    It was partitioned from them for over a minute, so that all of them removed
+    it from their registries.
     Given a gateway with 2 plain replicas
-    When a replica says that it leaves and is forgotten and known again
+    When a replica announces that it leaves and is removed and listed again
     Then no call is sent to it
 
-  Scenario: Replicas that have stopped are no reason to use one that leaves
+  Scenario: A leaving replica is not used when the other replicas have stopped
     Given a gateway with 2 plain replicas
-    When a replica says that it leaves and the other can't be reached
+    When a replica announces that it leaves and the other can't be reached
     Then no call is sent to it
 
-  Scenario: What a leaving replica still runs is not cut
+  Scenario: Requests that a leaving replica still runs are not aborted
     Given a gateway with 2 model replicas
-    When a replica says that it leaves at the beginning of its stream
-    Then that stream ends whole
+    When a replica announces that it leaves at the beginning of its stream
+    Then that stream ends completely
 
-  Scenario: With leaving replicas only, a request is refused at once
+  Scenario: A request is refused at once if all replicas are leaving
     Given a gateway with 1 plain replicas
-    When the only replica says that it leaves and a call comes
+    When the only replica announces that it leaves and a call arrives
     Then that call ends with status 503 within 0.1 seconds, never sent
 
-  Scenario: The next life of a server that left is used
+  Scenario: The next incarnation of a server that left is used
     Given a gateway with 1 plain replicas
-    When the replica says that it leaves and starts again under its id
+    When the replica announces that it leaves and restarts under its id
     Then a call is sent to it at once
 
-  Scenario: A server that does not end for long is used again
+  Scenario: A leaving server that has not ended for long is used again
     Given a gateway with 1 plain replicas
-    When the replica says that it leaves and is still there after 900 seconds
+    When the replica announces that it leaves and still exists after 900 seconds
     Then a call is sent to it at once
 
-  Scenario: All nodes know from one gateway that a server leaves
-    Its heartbeats do not tell, and only one gateway had an answer.
+  Scenario: One gateway informs all nodes that a server leaves
+    Its heartbeats do not say so, and only one gateway got a response.
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head tells one gateway that it leaves
+    When a head announces to one gateway that it leaves
     Then no gateway offers that head after 0.2 seconds
     And as many groups serve without it within 6 seconds
 
-  Scenario Outline: That a server leaves is told until control nodes know it
+  Scenario Outline: A leave notice is reported until control nodes have it
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head tells one gateway that it leaves while <fault>
+    When a head announces to one gateway that it leaves while <fault>
     Then no gateway offers that head after <late> seconds
 
     Examples:
-      | fault                                     | late |
-      | that gateway's home is lost               | 3    |
-      | that gateway's first message is lost      | 1    |
-      | all coordinators start again              | 5    |
+      | fault                                         | late |
+      | that gateway's home coordinator is stopped    | 3    |
+      | that gateway's first message is lost          | 1    |
+      | all coordinators restart                      | 5    |
 
-  Scenario: A server that starts again after it left is used by all
+  Scenario: A server that restarts after it left is used by all
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head tells one gateway that it leaves
-    And it starts again under its id
-    Then all coordinators take it for ready within 2 seconds
+    When a head announces to one gateway that it leaves
+    And it restarts under its id
+    Then all coordinators treat it as ready within 2 seconds
 
-  Scenario: A coordinator gives a server no orders in the pause it was asked for
-    A member of its group dies, so that its head is to be closed.
+  Scenario: A coordinator sends a server no orders in the pause it was asked for
+    A member of its group dies, so that the group of this head is to be closed.
     Given a fleet of 6 gateways and 24 servers with callers
     When a head asks all coordinators for 3 seconds and a member of it dies
-    Then it gets no order and no question for 3 seconds
+    Then it gets no order and no probe for 3 seconds
     And as many groups serve as with it within 6 seconds
 
-  Scenario: A server that turns a question away is not taken for dead
+  Scenario: A server that refuses a probe is not treated as dead
     Given a fleet of 6 gateways and 24 servers with callers
-    When a head that nobody hears turns a question of its coordinator away
+    When a head that no node receives anything from refuses its coordinator's probe
     Then that head is not marked as silent
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -23,17 +23,17 @@
 
 @given("a gateway with {count:d} plain replicas")
 def _(context, count):
-    context.play = forwarder_harness.ForwarderHarness(plain=count)
+    context.harness = forwarder_harness.ForwarderHarness(plain=count)
 
 
 @given("a gateway with {count:d} model replicas")
 def _(context, count):
-    context.play = forwarder_harness.ForwarderHarness(models=count)
+    context.harness = forwarder_harness.ForwarderHarness(models=count)
 
 
 @when("a non-idempotent call is reset")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("alerts")
     harness.deliver(
         events.AttemptFailed(context.name, 1, Verdict.MAY_HAVE_RUN, "reset")
@@ -43,13 +43,13 @@
 
 @then("it was sent once and ends with status {status:d}")
 def _(context, status):
-    assert len(context.play.list_attempts(context.name)) == 1
+    assert len(context.harness.list_attempts(context.name)) == 1
     assert_refused(context, status)
 
 
 def assert_refused(context, status):
     """Asserts the status of a refusal; returns the refusal with its time."""
-    found = context.play.list_effects(context.name, events.Refuse)
+    found = context.harness.list_effects(context.name, events.Refuse)
     assert len(found) == 1, found
     assert found[0][1].status == status, found
     return found[0]
@@ -60,7 +60,7 @@
 
 @when("a non-idempotent call is refused as not run and then completed")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("alerts")
     harness.send_head(context.name, REFUSED)
     harness.respond(context.name)
@@ -68,7 +68,7 @@
 
 @then("it was sent twice to different replicas and ends with status 200")
 def _(context):
-    harness = context.play
+    harness = context.harness
     if not harness.list_effects(context.name, events.FinishResponse):
         harness.respond(context.name)
     assert_two_replicas(context)
@@ -85,14 +85,15 @@
 def assert_two_replicas(context):
     """Asserts two attempts on two replicas."""
     names = [
-        sent.replica.name for sent in context.play.list_attempts(context.name)
+        sent.replica.name
+        for sent in context.harness.list_attempts(context.name)
     ]
     assert len(names) == len(set(names)) == 2, names
 
 
 @when("a non-idempotent call is refused by every replica")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("alerts")
     harness.send_head(context.name, REFUSED)
     harness.send_head(context.name, REFUSED)
@@ -107,14 +108,14 @@
 
 @when("{count:d} non-idempotent calls arrive at once")
 def _(context, count):
-    harness = context.play
+    harness = context.harness
     context.names = [harness.send_request("alerts") for _ in range(count)]
     harness.advance(0.2)
 
 
 @then("their retry times differ by {spread:g} seconds or more")
 def _(context, spread):
-    harness = context.play
+    harness = context.harness
     times = [
         harness.list_effects(name, events.Refuse)[0][1].retry_after_s
         for name in context.names
@@ -125,7 +126,7 @@
 
 @when("an idempotent call gets the response to another request")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("notices")
     harness.send_head(
         context.name,
@@ -135,7 +136,7 @@
 
 @when("an idempotent call gets a success that is not signed")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("notices")
     echo = harness.list_attempts()[-1].request.metadata.attempt_id
     harness.send_head(
@@ -145,13 +146,13 @@
 
 @when("an idempotent call gets no response for {seconds:g} seconds")
 def _(context, seconds):
-    context.name = context.play.send_request("notices")
-    context.play.advance(seconds)
+    context.name = context.harness.send_request("notices")
+    context.harness.advance(seconds)
 
 
 @when("a stream breaks in event 4 and another replica resumes it from event 2")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
     harness.send_events(name, [1, 2, 3], attempt=attempt)
@@ -169,7 +170,8 @@
 def _(context, last):
     assert_events(context, last)
     assert (
-        len(context.play.list_effects(context.name, events.FinishResponse)) == 1
+        len(context.harness.list_effects(context.name, events.FinishResponse))
+        == 1
     )
 
 
@@ -180,7 +182,7 @@
 
 def assert_events(context, last):
     """Asserts that the caller got each event once, in order."""
-    found = context.play.list_effects(context.name, events.WriteChunk)
+    found = context.harness.list_effects(context.name, events.WriteChunk)
     data = b"".join(e.data for _, e in found)
     assert data == b"".join(
         map(forwarder_harness.encode_event, range(1, last + 1))
@@ -189,7 +191,7 @@
 
 @when("a stream skips from event 2 to event 4")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
     harness.send_events(name, [1, 2, 4, 5], attempt=attempt)
@@ -197,7 +199,7 @@
 
 @when("a stream breaks twice after event 2")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
     harness.send_events(name, [1, 2], attempt=attempt)
@@ -210,7 +212,7 @@
 
 @when("a stream breaks after event 2 and the next replica responds {status:d}")
 def _(context, status):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
     harness.send_events(name, [1, 2], attempt=attempt)
@@ -227,7 +229,7 @@
 
 @then("the response is aborted and does not look complete")
 def _(context):
-    harness = context.play
+    harness = context.harness
     assert harness.list_effects(context.name, events.AbortResponse)
     assert not harness.list_effects(context.name, events.FinishResponse)
     assert not harness.list_effects(context.name, events.Refuse)
@@ -235,7 +237,7 @@
 
 @when("a replica with {count:d} streams stops sending output")
 def _(context, count):
-    harness = context.play
+    harness = context.harness
     context.names = []
     while len(context.names) < count:
         name = harness.send_request(
@@ -254,7 +256,7 @@
 
 @when("a connection to a replica times out")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = harness.send_request("drafts")
     context.stopped = harness.list_attempts(name)[-1].replica.name
     harness.deliver(
@@ -266,13 +268,13 @@
 
 @then("its stall is reported to other gateways")
 def _(context):
-    harness = context.play
+    harness = context.harness
     assert context.stopped in harness.health.list_stalled(harness.now)
 
 
 @then("within {seconds:g} seconds all streams move to other replicas")
 def _(context, seconds):
-    harness = context.play
+    harness = context.harness
     harness.advance(seconds)
     for name in context.names:
         replicas = [sent.replica.name for sent in harness.list_attempts(name)]
@@ -283,14 +285,14 @@
 @then("new requests avoid that replica")
 def _(context):
     for _ in range(10):
-        name = context.play.send_request("drafts")
-        sent = context.play.list_attempts(name)[-1]
+        name = context.harness.send_request("drafts")
+        sent = context.harness.list_attempts(name)[-1]
         assert sent.replica.name != context.stopped
 
 
 @then("within {seconds:g} seconds no response has ended")
 def _(context, seconds):
-    harness = context.play
+    harness = context.harness
     harness.advance(seconds)
     for name in context.names:
         assert not harness.list_effects(
@@ -300,7 +302,7 @@
 
 @when("a stream has a gap of {gap:g} seconds after a prompt of 6000 tokens")
 def _(context, gap):
-    harness = context.play
+    harness = context.harness
     harness.send_request("drafts", prompt=6000)
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
@@ -311,12 +313,12 @@
 
 @then("it was sent once")
 def _(context):
-    assert len(context.play.list_attempts(context.name)) == 1
+    assert len(context.harness.list_attempts(context.name)) == 1
 
 
 @given("other gateways have {count:d} requests at each replica")
 def _(context, count):
-    harness = context.play
+    harness = context.harness
     for replica in harness.forwarder._chooser._directory.list_replicas(
         "model", "large"
     ):
@@ -326,25 +328,25 @@
 @when("a stream waits {seconds:g} second for its first event")
 @when("a stream waits {seconds:g} seconds for its first event")
 def _(context, seconds):
-    context.name = context.play.send_request("drafts")
-    context.play.advance(seconds)
+    context.name = context.harness.send_request("drafts")
+    context.harness.advance(seconds)
 
 
 @then("it was never moved from its replica")
 def _(context):
-    harness = context.play
+    harness = context.harness
     assert len(harness.list_attempts(context.name)) == 1
     assert not harness.list_effects(context.name, events.CancelAttempt)
 
 
 @then("it was sent again to another replica")
 def _(context):
-    assert len(context.play.list_attempts(context.name)) == 2
+    assert len(context.harness.list_attempts(context.name)) == 2
 
 
 @when("a replica was avoided for a stall and then sends an event")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = harness.send_request("drafts")
     context.replica = harness.list_attempts(name)[-1].replica
     attempt = harness.send_head(name)
@@ -355,14 +357,14 @@
 
 @then("the replica is no longer avoided")
 def _(context):
-    harness = context.play
+    harness = context.harness
     assert not harness.health.is_stalled(context.replica, harness.now)
     assert not harness.health.list_stalled(harness.now)
 
 
 @when("another gateway reports a stall of a replica that is not used here")
 def _(context):
-    harness = context.play
+    harness = context.harness
     for effect in harness.forwarder.handle_reported_stalls(
         ("m1",), harness.now
     ):
@@ -371,7 +373,7 @@
 
 @then("that replica is avoided here and its stall is not reported again")
 def _(context):
-    harness = context.play
+    harness = context.harness
     replica = harness.forwarder._chooser.find("m1")
     assert harness.health.is_stalled(replica, harness.now)
     assert not harness.health.list_stalled(harness.now)
@@ -379,7 +381,7 @@
 
 @when("another gateway reports a stall of a replica that has just sent output")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     attempt = harness.send_head(name)
     harness.send_events(name, [1], attempt=attempt)
@@ -393,12 +395,12 @@
 
 @then("its streams stay on that replica")
 def _(context):
-    assert len(context.play.list_attempts(context.name)) == 1
+    assert len(context.harness.list_attempts(context.name)) == 1
 
 
 @when("{count:d} idempotent calls are all reset")
 def _(context, count):
-    harness = context.play
+    harness = context.harness
     context.names = [harness.send_request("notices") for _ in range(1)]
     for number in range(count):
         name = harness.send_request("notices", body=b"%d" % number)
@@ -415,13 +417,13 @@
 
 @then("at most {most:d} were sent a second time")
 def _(context, most):
-    again = [s for s in context.play.list_attempts() if s.attempt > 1]
+    again = [s for s in context.harness.list_attempts() if s.attempt > 1]
     assert 0 < len(again) <= most, len(again)
 
 
 @when("a caller disconnects in the middle of its stream")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = context.name = harness.send_request("drafts")
     harness.send_events(name, [1], attempt=harness.send_head(name))
     harness.deliver(events.CallerDisconnected(name))
@@ -429,16 +431,16 @@
 
 @then("the replica's connection is closed at once")
 def _(context):
-    found = context.play.list_effects(context.name, events.CancelAttempt)
-    assert [at for at, _ in found] == [context.play.now]
-    assert context.play.forwarder.count_open() == 0
+    found = context.harness.list_effects(context.name, events.CancelAttempt)
+    assert [at for at, _ in found] == [context.harness.now]
+    assert context.harness.forwarder.count_open() == 0
 
 
 @when("a non-idempotent call gets no response before its deadline")
 def _(context):
-    context.name = context.play.send_request("alerts")
-    context.submitted_at = context.play.now
-    context.play.advance(1.5)
+    context.name = context.harness.send_request("alerts")
+    context.submitted_at = context.harness.now
+    context.harness.advance(1.5)
 
 
 @then("it ends with status 504 within 0.05 seconds after its deadline")
@@ -449,9 +451,9 @@
 
 @when("a non-idempotent call arrives")
 def _(context):
-    context.name = context.play.send_request("alerts")
-    context.submitted_at = context.play.now
-    context.play.advance(0.5)
+    context.name = context.harness.send_request("alerts")
+    context.submitted_at = context.harness.now
+    context.harness.advance(0.5)
 
 
 @then("it ends with status 503 within {seconds:g} seconds and is never sent")
@@ -459,7 +461,7 @@
     at, refusal = assert_refused(context, 503)
     assert at - context.submitted_at <= seconds, at - context.submitted_at
     assert refusal.retry_after_s
-    assert not context.play.list_attempts()
+    assert not context.harness.list_attempts()
 
 
 # Routes and configurations.
@@ -654,12 +656,12 @@
 
 @given("the gateway has just started")
 def _(context):
-    context.play.forwarder._started_at = context.play.now
+    context.harness.forwarder._started_at = context.harness.now
 
 
 @when("a stream sends an event every {gap:g} seconds for {seconds:g} seconds")
 def _(context, gap, seconds):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("drafts", prompt=1000)
     attempt = harness.send_head(context.name)
     for number in range(1, round(seconds / gap) + 1):
@@ -669,18 +671,18 @@
 
 @then("it stays on its replica")
 def _(context):
-    assert len(context.play.list_attempts(context.name)) == 1
+    assert len(context.harness.list_attempts(context.name)) == 1
 
 
 @then("it still moves away within 1 second from a replica without output")
 def _(context):
-    context.play.advance(1.0)
-    assert len(context.play.list_attempts(context.name)) == 2
+    context.harness.advance(1.0)
+    assert len(context.harness.list_attempts(context.name)) == 2
 
 
 @when("a stream has just sent an event")
 def _(context):
-    harness = context.play
+    harness = context.harness
     context.name = harness.send_request("drafts", prompt=1000)
     attempt = harness.send_head(context.name)
     harness.send_events(context.name, [1], attempt=attempt)
@@ -688,7 +690,7 @@
 
 @then("no check is due before its replica may count as stalled")
 def _(context):
-    harness = context.play
+    harness = context.harness
     due_s = harness.forwarder.find_next_wakeup(harness.now) - harness.now
     assert due_s > 0.08, due_s
     # A check just before finds no stall, one some passes later does.
@@ -700,7 +702,7 @@
 
 @then("a check is due at once while a request waits for a replica")
 def _(context):
-    harness = context.play
+    harness = context.harness
     for _ in range(60):
         harness.send_request("drafts")
     assert harness.forwarder.find_next_wakeup(harness.now) <= harness.now
@@ -712,7 +714,7 @@
 )
 def _(context, count, kind, limit):
     replicas = {"plain": "plain", "model": "models"}[kind]
-    context.play = forwarder_harness.ForwarderHarness(
+    context.harness = forwarder_harness.ForwarderHarness(
         **{replicas: count}, max_connections=limit
     )
     context.route = {"plain": "notices", "model": "drafts"}[kind]
@@ -720,7 +722,7 @@
 
 @when("{count:d} requests for them arrive within {seconds:g} seconds")
 def _(context, count, seconds):
-    harness = context.play
+    harness = context.harness
     context.max_running = collections.Counter()
     for _ in range(count):
         harness.send_request(context.route)
@@ -753,12 +755,12 @@
 @when('two requests are refused by heads that name "{server}" as at fault')
 def _(context, server):
     for _ in range(2):
-        refuse_naming_server(context.play, server)
+        refuse_naming_server(context.harness, server)
 
 
 @when("a request is refused by a head that names itself as at fault")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = harness.send_request("drafts")
     replica = harness.list_attempts(name)[-1].replica
     head = attrs.evolve(
@@ -769,19 +771,19 @@
 
 @then('"{server}" is reported as at fault once')
 def _(context, server):
-    subject = context.play.forwarder
+    subject = context.harness.forwarder
     assert subject.pop_faulty_servers() == (server,)
     assert subject.pop_faulty_servers() == ()
 
 
 @then("no server is reported as at fault")
 def _(context):
-    assert context.play.forwarder.pop_faulty_servers() == ()
+    assert context.harness.forwarder.pop_faulty_servers() == ()
 
 
 @when("a request is refused without a time, the next one gets a late response")
 def _(context):
-    harness = context.play
+    harness = context.harness
     name = harness.send_request("notices", body=b"1")
     context.replica = harness.list_attempts(name)[-1].replica
     harness.send_head(
@@ -799,7 +801,7 @@
 
 @then("the replica is still likely to refuse")
 def _(context):
-    harness = context.play
+    harness = context.harness
     assert harness.notices.is_likely_to_refuse(
         context.replica, harness.now, may_probe=True
     )
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about servers that name how many requests they take."""
+"""Steps about servers that name a rate limit."""
 
 from __future__ import annotations
 
@@ -6,225 +6,233 @@
 
 from behave import given, then, when
 from steps import crash_steps
-from support import fleet_simulation, limitfaults, traffic_simulation
+from support import fleet_simulation, limit_schedules, traffic_simulation
 
-# How long faults are played, in seconds.
+# How long all coordinators are stopped, in seconds.
 FAULT_S = 20.0
 
 
-def send(play, seconds, seed=5):
-    """Has callers send requests at random moments to random gateways."""
-    limitfaults.send(play, seconds, random.Random(seed))
+def send(traffic, seconds, seed=5):
+    """Sends requests of callers at random times to random gateways."""
+    limit_schedules.send(traffic, seconds, random.Random(seed))
 
 
-def name_limit(context, limit, count=None):
-    """Has open heads name a limit from now on."""
-    play = context.play
-    heads = sorted({server.name for server in play.world.list_open()})
-    used = [h for h in heads if play.list_arrivals(h)]
+def set_limit(context, limit, count=None):
+    """Makes open heads name a limit from now on."""
+    traffic = context.traffic
+    heads = sorted({server.name for server in traffic.simulation.list_open()})
+    used = [h for h in heads if traffic.list_arrivals(h)]
     for head in used[:count]:
-        play.limits[head] = limit
-    context.named_at = play.world.now
-    context.before = set(play.submissions)
+        traffic.limits[head] = limit
+    context.named_at = traffic.simulation.now
+    context.before = set(traffic.submissions)
 
 
-def list_new(context):
-    """Returns what was asked since a limit was named."""
+def list_new_submissions(context):
+    """Returns the submissions since a limit was named."""
     return [
         submission
-        for name, submission in context.play.submissions.items()
+        for name, submission in context.traffic.submissions.items()
         if name not in context.before
     ]
 
 
-def count_arrivals(context, head, since_s=limitfaults.SETTLE_S):
-    """Returns how many requests a head got, from a time on."""
+def count_arrivals(context, head, since_s=limit_schedules.SETTLE_S):
+    """Returns how many requests a head got from a time on."""
     since = context.named_at + since_s
-    return sum(at >= since for at, _ in context.play.list_arrivals(head))
+    return sum(at >= since for at, _ in context.traffic.list_arrivals(head))
 
 
-def find_in_charge(context):
-    """Returns the coordinator that gives out the permits of limited heads."""
-    world = context.play.world
-    head = min(context.play.limits)
-    zone = world.servers[head].zone
-    return next(n for n in world.coordinator_names if n.startswith(f"{zone}/"))
+def find_owner(context):
+    """Returns the coordinator that grants the permits of limited heads."""
+    simulation = context.traffic.simulation
+    head = min(context.traffic.limits)
+    zone = simulation.servers[head].zone
+    return next(
+        n for n in simulation.coordinator_names if n.startswith(f"{zone}/")
+    )
 
 
 @given("{count:d} gateways with {servers:d} replicas' servers and callers")
 def _(context, count, servers):
-    world = fleet_simulation.FleetSimulation(
+    simulation = fleet_simulation.FleetSimulation(
         servers_per_zone=servers // 3, gateways_per_zone=count // 3
     )
-    world.bootstrap()
-    context.play = traffic_simulation.TrafficSimulation(world)
-    context.play.asked_at = {}
-    send(context.play, 3.0)
+    simulation.bootstrap()
+    context.traffic = traffic_simulation.TrafficSimulation(simulation)
+    context.traffic.submitted_at = {}
+    send(context.traffic, 3.0)
 
 
 @when("two heads name a limit of {limit:g} a second for {seconds:g} seconds")
 def _(context, limit, seconds):
-    name_limit(context, limit, 2)
-    crash_steps.send(context.play, seconds)
+    set_limit(context, limit, 2)
+    crash_steps.send(context.traffic, seconds)
 
 
 @when("a head names a limit of {limit:g} a second for {seconds:g} seconds")
 def _(context, limit, seconds):
-    context.play.asked_at = {}
-    name_limit(context, limit, 1)
-    send(context.play, seconds)
+    context.traffic.submitted_at = {}
+    set_limit(context, limit, 1)
+    send(context.traffic, seconds)
 
 
 @when("all heads name a limit of {limit:g} a second for {seconds:g} seconds")
 def _(context, limit, seconds):
-    name_limit(context, limit)
-    send(context.play, seconds)
+    set_limit(context, limit)
+    send(context.traffic, seconds)
 
 
 @when("it names none any more for {seconds:g} seconds")
 def _(context, seconds):
-    context.former = next(iter(context.play.limits))
-    context.play.limits.clear()
-    context.ended_at = context.play.world.now
-    send(context.play, seconds)
+    context.limited_head = next(iter(context.traffic.limits))
+    context.traffic.limits.clear()
+    context.limits_ended_at = context.traffic.simulation.now
+    send(context.traffic, seconds)
 
 
 @when("{which} heads name a limit of {limit:g} a second while {fault}")
 def _(context, which, limit, fault):
-    name_limit(context, limit, 2 if which == "two" else None)
-    play = context.play
-    send(play, 6.0)
-    context.fault_at = play.world.now
+    set_limit(context, limit, 2 if which == "two" else None)
+    traffic = context.traffic
+    send(traffic, 6.0)
+    context.fault_at = traffic.simulation.now
     FAULTS[fault](context)
-    play.world.heal()
-    send(play, 6.0, seed=7)
+    traffic.simulation.heal()
+    send(traffic, 6.0, seed=7)
 
 
-@when("a gateway starts again with the limits in force")
+@when("a gateway restarts with the limits in force")
 def _(context):
-    world = context.play.world
-    node = sorted(world.gateways)[0]
-    world.kill(node)
-    world.start_gateway(node)
-    context.started = world.gateways[node]
-    world.run_until(lambda: context.started.count_replicas()["replicas"])
+    simulation = context.traffic.simulation
+    node = sorted(simulation.gateways)[0]
+    simulation.kill(node)
+    simulation.start_gateway(node)
+    context.started = simulation.gateways[node]
+    simulation.run_until(lambda: context.started.count_replicas()["replicas"])
 
 
 @when(
-    "no coordinator runs for {seconds:g} seconds in which nobody asks anything"
+    "no coordinator runs for {seconds:g} seconds in which there are no requests"
 )
 def _(context, seconds):
-    play = context.play
-    for node in play.world.coordinator_names:
-        play.world.kill(node)
-    play.run(seconds)
-    for node in play.world.coordinator_names:
-        play.world.start(node)
+    traffic = context.traffic
+    for node in traffic.simulation.coordinator_names:
+        traffic.simulation.kill(node)
+    traffic.run(seconds)
+    for node in traffic.simulation.coordinator_names:
+        traffic.simulation.start(node)
 
 
-@when("each gateway is asked once, {seconds:g} seconds after they are back")
+@when("each gateway gets one request, {seconds:g} seconds after they are back")
 def _(context, seconds):
-    play = context.play
-    play.run(seconds)
-    context.asked_from = play.world.now
-    for gateway in sorted(play.world.gateways):
-        asked = play.submit(gateway, b"asked %d" % len(play.submissions))
-        play.asked_at[asked.name] = play.world.now
-        play.run(traffic_simulation.STEP_S)
-    play.run(1.0)
+    traffic = context.traffic
+    traffic.run(seconds)
+    context.submitted_from = traffic.simulation.now
+    for gateway in sorted(traffic.simulation.gateways):
+        submission = traffic.submit(
+            gateway, b"asked %d" % len(traffic.submissions)
+        )
+        traffic.submitted_at[submission.name] = traffic.simulation.now
+        traffic.run(traffic_simulation.STEP_S)
+    traffic.run(1.0)
 
 
 @then("none gets more than {most:d} of these requests")
 def _(context, most):
-    for head in context.play.limits:
-        arrivals = context.play.list_arrivals(head)
-        found = sum(at >= context.asked_from for at, _ in arrivals)
+    for head in context.traffic.limits:
+        arrivals = context.traffic.list_arrivals(head)
+        found = sum(at >= context.submitted_from for at, _ in arrivals)
         assert found <= most, (head, found)
 
 
 def restart_gateway(context):
-    """Starts a gateway again."""
-    node = sorted(context.play.world.gateways)[0]
-    context.play.world.kill(node)
-    send(context.play, 1.0)
-    context.play.world.start_gateway(node)
-    send(context.play, 4.0)
+    """Restarts a gateway."""
+    node = sorted(context.traffic.simulation.gateways)[0]
+    context.traffic.simulation.kill(node)
+    send(context.traffic, 1.0)
+    context.traffic.simulation.start_gateway(node)
+    send(context.traffic, 4.0)
 
 
 def restart_in_turn(context):
-    """Starts all coordinators again, one after the other."""
-    for node in context.play.world.coordinator_names:
-        context.play.world.kill(node)
-        send(context.play, 1.0)
-        context.play.world.start(node)
-        send(context.play, 3.0)
-
-
-def restart_all(context):
-    """Starts all coordinators again at the same moment."""
-    for node in context.play.world.coordinator_names:
-        context.play.world.kill(node)
-    send(context.play, 0.5)
-    for node in context.play.world.coordinator_names:
-        context.play.world.start(node)
-    send(context.play, 5.0)
-
-
-def lose_in_charge(context):
-    """Loses the coordinator that gives out the permits, for 5 s."""
-    node = find_in_charge(context)
-    context.play.world.kill(node)
-    send(context.play, 5.0)
-    context.play.world.start(node)
-    send(context.play, 4.0)
-
-
-def freeze_in_charge(context):
-    """Freezes the coordinator that gives out the permits, for 5 s."""
-    node = find_in_charge(context)
-    context.play.world.frozen.add(node)
-    send(context.play, 5.0)
-    context.play.world.unfreeze(node)
-    send(context.play, 4.0)
-
-
-def cut_coordinators(context):
-    """Cuts all coordinators from each other; gateways reach all of them."""
-    world = context.play.world
-    for first in world.coordinator_names:
-        others = [node for node in world.coordinator_names if node != first]
-        limitfaults.cut(world, [first], others)
-    send(context.play, 10.0)
-
-
-def cut_zone(context):
-    """Cuts the nodes of one zone off from all others."""
-    world = context.play.world
-    nodes = [*world.coordinator_names, *world.gateways]
+    """Restarts all coordinators, one after the other."""
+    for node in context.traffic.simulation.coordinator_names:
+        context.traffic.simulation.kill(node)
+        send(context.traffic, 1.0)
+        context.traffic.simulation.start(node)
+        send(context.traffic, 3.0)
+
+
+def restart_all_coordinators(context):
+    """Restarts all coordinators at the same moment."""
+    for node in context.traffic.simulation.coordinator_names:
+        context.traffic.simulation.kill(node)
+    send(context.traffic, 0.5)
+    for node in context.traffic.simulation.coordinator_names:
+        context.traffic.simulation.start(node)
+    send(context.traffic, 5.0)
+
+
+def stop_owner(context):
+    """Stops the coordinator that grants the permits, for 5 s."""
+    node = find_owner(context)
+    context.traffic.simulation.kill(node)
+    send(context.traffic, 5.0)
+    context.traffic.simulation.start(node)
+    send(context.traffic, 4.0)
+
+
+def freeze_owner(context):
+    """Freezes the coordinator that grants the permits, for 5 s."""
+    node = find_owner(context)
+    context.traffic.simulation.frozen.add(node)
+    send(context.traffic, 5.0)
+    context.traffic.simulation.unfreeze(node)
+    send(context.traffic, 4.0)
+
+
+def partition_coordinators(context):
+    """Partitions all coordinators from each other, but not from gateways."""
+    simulation = context.traffic.simulation
+    for first in simulation.coordinator_names:
+        others = [
+            node for node in simulation.coordinator_names if node != first
+        ]
+        limit_schedules.partition(simulation, [first], others)
+    send(context.traffic, 10.0)
+
+
+def isolate_zone(context):
+    """Partitions the nodes of one zone from all others."""
+    simulation = context.traffic.simulation
+    nodes = [*simulation.coordinator_names, *simulation.gateways]
     inside = [node for node in nodes if node.startswith("z1/")]
-    limitfaults.cut(world, inside, [n for n in nodes if n not in inside])
-    send(context.play, 10.0)
+    limit_schedules.partition(
+        simulation, inside, [n for n in nodes if n not in inside]
+    )
+    send(context.traffic, 10.0)
 
 
-def lose_all(context):
-    """Loses all coordinators."""
-    for node in context.play.world.coordinator_names:
-        context.play.world.kill(node)
-    send(context.play, FAULT_S)
-    context.fault_ended_at = context.play.world.now
-    for node in context.play.world.coordinator_names:
-        context.play.world.start(node)
+def stop_all_coordinators(context):
+    """Stops all coordinators for some time."""
+    for node in context.traffic.simulation.coordinator_names:
+        context.traffic.simulation.kill(node)
+    send(context.traffic, FAULT_S)
+    context.fault_ended_at = context.traffic.simulation.now
+    for node in context.traffic.simulation.coordinator_names:
+        context.traffic.simulation.start(node)
 
 
 FAULTS = {
-    "a gateway starts again": restart_gateway,
-    "the coordinators start again one after the other": restart_in_turn,
-    "all coordinators start again": restart_all,
-    "the coordinator in charge is lost for 5 seconds": lose_in_charge,
-    "the coordinator in charge is frozen for 5 seconds": freeze_in_charge,
-    "the coordinators are cut from each other": cut_coordinators,
-    "a zone is cut off": cut_zone,
-    "all coordinators are lost": lose_all,
+    "a gateway restarts": restart_gateway,
+    "the coordinators restart one after the other": restart_in_turn,
+    "all coordinators restart": restart_all_coordinators,
+    "the owner is stopped for 5 seconds": stop_owner,
+    "the owner is frozen for 5 seconds": freeze_owner,
+    "the coordinators are partitioned from each other": partition_coordinators,
+    "a zone is isolated": isolate_zone,
+    "all coordinators are stopped": stop_all_coordinators,
 }
 
 
@@ -233,63 +241,80 @@
     "in {window_s:g} seconds"
 )
 def _(context, late_s, most, window_s):
-    assert window_s == limitfaults.WINDOW_S
+    assert window_s == limit_schedules.WINDOW_S
     since = context.named_at + late_s
-    for head in context.play.limits:
-        arrivals = context.play.list_arrivals(head)
-        found = limitfaults.find_most(arrivals, since)
+    for head in context.traffic.limits:
+        arrivals = context.traffic.list_arrivals(head)
+        found = limit_schedules.find_max_in_window(arrivals, since)
         late = [a for a in arrivals if a[0] > since]
         assert found <= most, (head, found, late)
 
 
 @then(
-    "{which} ever gets more than it takes, from {late_s:g} seconds after that"
+    "{which} ever gets more than it accepts, from {late_s:g} seconds after that"
 )
 def _(context, which, late_s):
     since = context.named_at + late_s
-    for head, limit in context.play.limits.items():
-        most = limitfaults.find_allowed(limit)
-        found = limitfaults.find_most(context.play.list_arrivals(head), since)
+    for head, limit in context.traffic.limits.items():
+        most = limit_schedules.get_allowed_requests(limit)
+        found = limit_schedules.find_max_in_window(
+            context.traffic.list_arrivals(head), since
+        )
         assert found <= most, (head, found, most)
 
 
-@then("it never gets more than it takes, from {late_s:g} seconds after that")
+@then("it never gets more than it accepts, from {late_s:g} seconds after that")
 def _(context, late_s):
     context.execute_steps(
-        f"Then none ever gets more than it takes, from {late_s:g} seconds "
+        f"Then none ever gets more than it accepts, from {late_s:g} seconds "
         "after that"
     )
 
 
-@then("it gets at least half of what it takes")
+@then("it gets at least half of what it accepts")
 def _(context):
-    (head, limit), *_ = context.play.limits.items()
-    seconds = context.play.world.now - context.named_at - limitfaults.SETTLE_S
+    (head, limit), *_ = context.traffic.limits.items()
+    seconds = (
+        context.traffic.simulation.now
+        - context.named_at
+        - limit_schedules.SETTLE_S
+    )
     found = count_arrivals(context, head)
     assert found >= 0.5 * limit * seconds, (found, limit * seconds)
 
 
-@then("together they get nine tenths of what they take")
+@then("together they get nine tenths of what they accept")
 def _(context):
-    limits = context.play.limits
-    seconds = context.play.world.now - context.named_at - limitfaults.SETTLE_S
+    limits = context.traffic.limits
+    seconds = (
+        context.traffic.simulation.now
+        - context.named_at
+        - limit_schedules.SETTLE_S
+    )
     found = sum(count_arrivals(context, head) for head in limits)
     assert found >= 0.9 * sum(limits.values()) * seconds, (found, limits)
 
 
 @then("no request is refused")
 def _(context):
-    refused = [s for s in list_new(context) if s.status not in (0, 200)]
+    refused = [
+        s for s in list_new_submissions(context) if s.status not in (0, 200)
+    ]
     assert not refused, refused
 
 
 @then("the rest is refused as not run within half of its objective")
 def _(context):
-    refused = [s for s in list_new(context) if s.status not in (0, 200)]
+    refused = [
+        s for s in list_new_submissions(context) if s.status not in (0, 200)
+    ]
     assert refused
     route = traffic_simulation.ROUTES["drafts"]
     for submission in refused:
-        took_s = submission.ended_at - context.play.asked_at[submission.name]
+        took_s = (
+            submission.refused_at
+            - context.traffic.submitted_at[submission.name]
+        )
         assert took_s <= 0.5 * route.objective_s, (took_s, submission)
         assert submission.status == 503 and not submission.sent, submission
         assert submission.retry_after_s, submission
@@ -297,12 +322,12 @@
 
 @then("each request reaches a replica within a tenth of a second")
 def _(context):
-    play = context.play
-    for submission in list_new(context):
-        asked_at = play.asked_at[submission.name]
-        if asked_at < play.world.now - 0.1:
+    traffic = context.traffic
+    for submission in list_new_submissions(context):
+        submitted_at = traffic.submitted_at[submission.name]
+        if submitted_at < traffic.simulation.now - 0.1:
             assert submission.sent, submission
-            assert submission.sent[0][0] - asked_at <= 0.1, submission
+            assert submission.sent[0][0] - submitted_at <= 0.1, submission
 
 
 @then(
@@ -310,34 +335,36 @@
     "a second"
 )
 def _(context, late_s, per_s):
-    since = context.ended_at + late_s
-    times = [at for at, _ in context.play.list_arrivals(context.former)]
-    seconds = context.play.world.now - since
+    since = context.limits_ended_at + late_s
+    times = [
+        at for at, _ in context.traffic.list_arrivals(context.limited_head)
+    ]
+    seconds = context.traffic.simulation.now - since
     found = sum(at >= since for at in times)
     assert found > per_s * seconds, (found, seconds)
 
 
-@then("each gets a third of what it takes while no coordinator runs")
+@then("each gets a third of what it accepts while no coordinator runs")
 def _(context):
-    for head, limit in context.play.limits.items():
+    for head, limit in context.traffic.limits.items():
         found = sum(
             context.fault_at <= at < context.fault_ended_at
-            for at, _ in context.play.list_arrivals(head)
+            for at, _ in context.traffic.list_arrivals(head)
         )
         assert found >= limit * FAULT_S / 3, (head, found, limit * FAULT_S)
 
 
-@then("it knows the limits as soon as it knows the servers")
+@then("it has the limits as soon as it has the servers")
 def _(context):
-    limits = context.play.limits
+    limits = context.traffic.limits
     assert context.started.count_rate_limited_replicas() == len(limits)
 
 
 @then("nine in ten of them within {limit_s:g} seconds")
 def _(context, limit_s):
     delays = [
-        submission.sent[0][0] - context.play.asked_at[submission.name]
-        for submission in list_new(context)
+        submission.sent[0][0] - context.traffic.submitted_at[submission.name]
+        for submission in list_new_submissions(context)
         if submission.sent
     ]
     late = sum(delay_s > limit_s + 1e-9 for delay_s in delays)
@@ -347,5 +374,5 @@
 @then("random schedules {first:d} to {last:d} of faults keep the limit")
 def _(context, first, last):
     for seed in range(first, last + 1):
-        found = limitfaults.explore(seed)
-        assert found.most <= found.allowed, (seed, found)
+        found = limit_schedules.run_schedule(seed)
+        assert found.max_requests <= found.allowed_requests, (seed, found)
--- a/tests/support/traffic_simulation.py
+++ b/tests/support/traffic_simulation.py
@@ -1,4 +1,4 @@
-"""Callers and replicas in a fleet, some of whose requests end their replica."""
+"""Simulated callers and replicas of a fleet; requests may crash replicas."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from support import fleet_simulation
 
 STEP_S = 0.01
-# From the sending of a request to the moment at which its run ends its
-# replica, or gives an event, in seconds.
+# Time from the sending of a request until its run crashes its replica or
+# outputs its first event, in seconds.
 RUN_S = 0.15
-# An ordinary stream gives this many events, one each 0.1 s.
+# Number of events of an ordinary stream, one each 0.1 s.
 EVENTS = 5
-# A server that ended is replaced by an empty one after this, in seconds.
+# A crashed server is replaced by an empty one after this, in seconds.
 REPLACED_S = 2.5
 OK = model.ResponseHead(200, is_signed=True)
 ROUTES = {r.name: r for r in fleet_simulation.make_document(1).routes}
@@ -25,18 +25,18 @@
 
 @attrs.define
 class Submission:
-    """One submission of a request, with what became of it.
+    """One submission of a request and its outcome.
 
     Attributes:
-        name: The gateway's name for it.
-        gateway: Where it was sent to.
-        body: What it asks.
-        sent: When it reached replicas, and which.
-        status: Status of a refusal; 200 for a whole answer; 0 if neither.
+        name: The gateway's id of the request.
+        gateway: The gateway that it was sent to.
+        body: Body of the request.
+        sent: Times at which it reached replicas, and their names.
+        status: Status of a refusal; 200 for a complete response; 0 if neither.
         reason: Reason of a refusal.
-        retry_after_s: When its caller may come back, if it was told.
-        ended_at: When it was refused.
-        asked_at: When it was sent to the gateway.
+        retry_after_s: Retry time of a refusal, in seconds.
+        refused_at: Time of the refusal.
+        submitted_at: Time at which it was sent to the gateway.
     """
 
     name: str
@@ -46,19 +46,19 @@
     status: int = 0
     reason: str = ""
     retry_after_s: float | None = None
-    ended_at: float = 0.0
-    asked_at: float = 0.0
+    refused_at: float = 0.0
+    submitted_at: float = 0.0
 
 
 @attrs.frozen
 class Refusal:
-    """An answer with which a server turned a gateway away.
+    """A response in which a server refused a request of a gateway.
 
     Attributes:
-        at: When the gateway got it.
+        at: Time at which the gateway got it.
         server: The server.
         gateway: The gateway.
-        pause_s: How long the server wants no request, in seconds.
+        pause_s: Pause that the server asks for, in seconds.
     """
 
     at: float
@@ -72,51 +72,53 @@
     submission: Submission
     attempt: int
     server: str
-    began: float
-    given: int = 0
+    started_at: float
+    event_count: int = 0
     pause_s: float | None = None
 
 
 class TrafficSimulation:
-    """Plays the callers and the replicas of a fleet."""
+    """Simulated callers and replicas of a fleet."""
 
-    def __init__(self, world: fleet_simulation.FleetSimulation) -> None:
-        """Makes a play.
+    def __init__(self, simulation: fleet_simulation.FleetSimulation) -> None:
+        """Makes the callers and replicas.
 
         Args:
-            world: Coordinators, gateways and servers, with open groups.
+            simulation: Coordinators, gateways and servers, with open groups.
         """
-        self.world = world
-        # Bodies that end the replica that runs them.
-        self.deadly: set[bytes] = set()
+        self.simulation = simulation
+        # Bodies that crash the replica that runs them.
+        self.crashing_bodies: set[bytes] = set()
         self.submissions: dict[str, Submission] = {}
-        # When servers ended, and under which bodies.
-        self.ended: list[tuple[float, str, frozenset[bytes]]] = []
+        # Times of crashes, the servers, and the bodies that they ran.
+        self.crashes: list[tuple[float, str, frozenset[bytes]]] = []
         self._runs: dict[tuple[str, int], _Run] = {}
         self._count = itertools.count(1)
-        self._seen = len(world.gateway_effects)
-        # Requests a second that servers name with their answers.
+        self._handled_count = len(simulation.gateway_effects)
+        # Limits that servers name in their responses, in requests a second.
         self.limits: dict[str, float] = {}
-        # Servers that turn each request away, with the pause they ask for, and
-        # the only gateway whose requests they do; all if empty.
-        self.pausing: dict[str, float] = {}
-        self.turned_away = ""
+        # Servers that refuse each request, with the pause they ask for, and the
+        # only gateway whose requests they refuse; all gateways if empty.
+        self.pauses: dict[str, float] = {}
+        self.refused_gateway = ""
         self.refusals: list[Refusal] = []
-        # Servers that say with each answer that they leave, and when each
-        # gateway was first told so.
+        # Servers that announce in each response that they leave, and the time
+        # at which each gateway first received that.
         self.leaving: set[str] = set()
-        self.told_leaving: dict[tuple[str, str], float] = {}
-        # Servers that come back, by time.
-        self._due: list[tuple[float, instances.Instance]] = []
-        # Whether the caller of such a body leaves once its run is lost.
-        self.leaves_early = False
+        self.leave_notice_times: dict[tuple[str, str], float] = {}
+        # Times at which crashed servers are replaced.
+        self._replacements: list[tuple[float, instances.Instance]] = []
+        # Whether the caller of a crashing body disconnects at the crash.
+        self.disconnects_early = False
 
     def submit(
         self, gateway: str, body: bytes, *, last_event: int = 0
     ) -> Submission:
         """Sends a request to a gateway."""
         name = f"r{next(self._count)}"
-        submission = Submission(name, gateway, body, asked_at=self.world.now)
+        submission = Submission(
+            name, gateway, body, submitted_at=self.simulation.now
+        )
         self.submissions[name] = submission
         route = ROUTES["drafts"]
         request = model.Request(
@@ -137,24 +139,24 @@
             body=body,
             urgency=1,
         )
-        self.world.apply(gateway, events.RequestArrived(request))
-        self._follow()
+        self.simulation.apply(gateway, events.RequestArrived(request))
+        self._handle_effects()
         return submission
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
-        end = self.world.now + seconds
-        while self.world.now < end - 1e-9:
-            self.world.run(STEP_S)
-            self._follow()
-            self._serve()
-            self._replace()
-
-    def find_lost(self, body: bytes) -> list[float]:
-        """Returns when servers ended under a body, in order."""
-        return [at for at, _, bodies in self.ended if body in bodies]
-
-    def list_sent(self, body: bytes) -> list[float]:
+        """Advances the time."""
+        end = self.simulation.now + seconds
+        while self.simulation.now < end - 1e-9:
+            self.simulation.run(STEP_S)
+            self._handle_effects()
+            self._advance_runs()
+            self._add_replacements()
+
+    def list_crash_times(self, body: bytes) -> list[float]:
+        """Returns when servers crashed while running a body, in order."""
+        return [at for at, _, bodies in self.crashes if body in bodies]
+
+    def list_send_times(self, body: bytes) -> list[float]:
         """Returns when a body reached replicas, in order."""
         return sorted(
             at
@@ -172,19 +174,19 @@
             if name == server
         )
 
-    def end_server(self, name: str) -> None:
-        """Ends a server; all that it runs is closed at the same moment."""
-        server = self.world.servers[name]
+    def crash_server(self, name: str) -> None:
+        """Crashes a server; its connections close at the same moment."""
+        server = self.simulation.servers[name]
         running = [r for r in self._runs.values() if r.server == name]
         bodies = frozenset(r.submission.body for r in running)
-        self.ended.append((self.world.now, name, bodies))
-        self._due.append((self.world.now + REPLACED_S, server))
-        self.world.crash(name)
+        self.crashes.append((self.simulation.now, name, bodies))
+        self._replacements.append((self.simulation.now + REPLACED_S, server))
+        self.simulation.crash(name)
         for run in running:
             self._fail(run, Verdict.MAY_HAVE_RUN, "closed")
 
     def reset(self, submission: Submission) -> None:
-        """Resets the connection of a submission; its server goes on."""
+        """Resets the connection of a submission; its server keeps running."""
         for run in list(self._runs.values()):
             if run.submission is submission:
                 self._fail(run, Verdict.MAY_HAVE_RUN, "reset")
@@ -192,37 +194,39 @@
     def refuse_submission(
         self, submission: Submission, head: model.ResponseHead
     ) -> None:
-        """Has the server that runs a submission refuse it."""
+        """Makes the server that runs a submission refuse it."""
         for run in list(self._runs.values()):
             if run.submission is submission:
-                self._begin(run, head)
+                self._send_head(run, head)
 
-    def list_running(self) -> list[str]:
-        """Returns the servers that run something, each once, sorted."""
+    def list_busy_servers(self) -> list[str]:
+        """Returns the servers that run requests, each once, sorted."""
         return sorted({run.server for run in self._runs.values()})
 
     # Replicas.
 
-    def _follow(self) -> None:
-        """Takes what the gateways did since."""
-        found = self.world.gateway_effects
-        while self._seen < len(found):
-            _, node, effect = found[self._seen]
-            self._seen += 1
-            self._take(node, effect)
+    def _handle_effects(self) -> None:
+        """Handles the effects of the gateways since the last call."""
+        found = self.simulation.gateway_effects
+        while self._handled_count < len(found):
+            _, node, effect = found[self._handled_count]
+            self._handled_count += 1
+            self._handle_effect(node, effect)
 
-    def _take(self, node: str, effect: events.Effect) -> None:
+    def _handle_effect(self, node: str, effect: events.Effect) -> None:
         match effect:
             case events.StartAttempt(request, attempt, replica):
                 submission = self.submissions[request.request_id]
-                run = _Run(submission, attempt, replica.name, self.world.now)
-                if self.turned_away in ("", node):
-                    run.pause_s = self.pausing.get(replica.name)
+                run = _Run(
+                    submission, attempt, replica.name, self.simulation.now
+                )
+                if self.refused_gateway in ("", node):
+                    run.pause_s = self.pauses.get(replica.name)
                 self._runs[request.request_id, attempt] = run
-                if replica.name not in self.world.servers:
+                if replica.name not in self.simulation.servers:
                     self._fail(run, Verdict.NOT_RUN, "unreachable")
                 else:
-                    submission.sent.append((self.world.now, replica.name))
+                    submission.sent.append((self.simulation.now, replica.name))
             case events.CancelAttempt(request_id, attempt):
                 self._runs.pop((request_id, attempt), None)
             case events.Refuse(request_id, status, reason, retry_after_s):
@@ -230,80 +234,84 @@
                 submission.status = status
                 submission.reason = reason
                 submission.retry_after_s = retry_after_s
-                submission.ended_at = self.world.now
+                submission.refused_at = self.simulation.now
             case events.FinishResponse(request_id):
                 self.submissions[request_id].status = 200
             case _:
                 pass
 
-    def _serve(self) -> None:
+    def _advance_runs(self) -> None:
         for run in list(self._runs.values()):
-            age_s = self.world.now - run.began
-            if run.server not in self.world.servers:
+            age_s = self.simulation.now - run.started_at
+            if run.server not in self.simulation.servers:
                 continue
             if run.pause_s is not None:
                 self._refuse(run, run.pause_s)
                 continue
             if age_s < RUN_S:
                 continue
-            if run.submission.body in self.deadly:
-                self.end_server(run.server)
-                if self.leaves_early:
-                    left = events.CallerDisconnected(run.submission.name)
-                    self._tell(run.submission.gateway, left)
+            if run.submission.body in self.crashing_bodies:
+                self.crash_server(run.server)
+                if self.disconnects_early:
+                    disconnected = events.CallerDisconnected(
+                        run.submission.name
+                    )
+                    self._deliver(run.submission.gateway, disconnected)
                 continue
-            if age_s >= RUN_S + 0.1 * run.given:
-                self._give_event(run)
+            if age_s >= RUN_S + 0.1 * run.event_count:
+                self._send_event(run)
 
-    def _give_event(self, run: _Run) -> None:
+    def _send_event(self, run: _Run) -> None:
         name, gateway = run.submission.name, run.submission.gateway
-        if not run.given:
+        if not run.event_count:
             limit_per_s = self.limits.get(run.server)
             head = attrs.evolve(OK, limit_per_s=limit_per_s)
-            self._begin(run, head)
-        run.given += 1
-        data = b"id: %d\ndata: x\n\n" % run.given
-        self._tell(gateway, events.ChunkArrived(name, run.attempt, data))
-        if run.given == EVENTS:
+            self._send_head(run, head)
+        run.event_count += 1
+        data = b"id: %d\ndata: x\n\n" % run.event_count
+        self._deliver(gateway, events.ChunkArrived(name, run.attempt, data))
+        if run.event_count == EVENTS:
             self._runs.pop((name, run.attempt), None)
-            self._tell(gateway, events.ResponseCompleted(name, run.attempt))
+            self._deliver(gateway, events.ResponseCompleted(name, run.attempt))
 
     def _refuse(self, run: _Run, pause_s: float) -> None:
         gateway = run.submission.gateway
-        refusal = Refusal(self.world.now, run.server, gateway, pause_s)
+        refusal = Refusal(self.simulation.now, run.server, gateway, pause_s)
         self.refusals.append(refusal)
-        self._begin(
+        self._send_head(
             run,
             model.ResponseHead(
                 503, not_run=True, retry_after_s=pause_s or None
             ),
         )
 
-    def _begin(self, run: _Run, head: model.ResponseHead) -> None:
+    def _send_head(self, run: _Run, head: model.ResponseHead) -> None:
         name, gateway = run.submission.name, run.submission.gateway
         is_leaving = run.server in self.leaving
         if is_leaving:
-            told = (gateway, run.server)
-            self.told_leaving.setdefault(told, self.world.now)
+            key = (gateway, run.server)
+            self.leave_notice_times.setdefault(key, self.simulation.now)
         head = attrs.evolve(
             head, echoed_attempt_id=f"try-{name}", is_leaving=is_leaving
         )
-        self._tell(gateway, events.ResponseHeadArrived(name, run.attempt, head))
+        self._deliver(
+            gateway, events.ResponseHeadArrived(name, run.attempt, head)
+        )
 
     def _fail(self, run: _Run, verdict: Verdict, reason: str) -> None:
         name = run.submission.name
         self._runs.pop((name, run.attempt), None)
         failed = events.AttemptFailed(name, run.attempt, verdict, reason)
-        self._tell(run.submission.gateway, failed)
+        self._deliver(run.submission.gateway, failed)
 
-    def _tell(self, gateway: str, event: events.Event) -> None:
-        self.world.apply(gateway, event)
-        self._follow()
+    def _deliver(self, gateway: str, event: events.Event) -> None:
+        self.simulation.apply(gateway, event)
+        self._handle_effects()
 
-    def _replace(self) -> None:
-        for due, server in list(self._due):
-            if self.world.now >= due:
-                self._due.remove((due, server))
+    def _add_replacements(self) -> None:
+        for due, server in list(self._replacements):
+            if self.simulation.now >= due:
+                self._replacements.remove((due, server))
                 domain = int(server.domain.rpartition("d")[2])
                 name = f"{server.name}+"
-                self.world.add_server(name, server.zone, domain)
+                self.simulation.add_server(name, server.zone, domain)
