--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -316,7 +316,7 @@
     )
     restarted = coordinator.CoordinatorProcess(
         process.settings,
-        header_codec=process._header_codec,
+        server_codec=process._server_codec,
         read_document=documents.decode_compressed,
         make_app=process._make_app,
         reload=process._reload,
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -188,7 +188,7 @@
 
     def list_model_replicas(self) -> list:
         """Returns the replicas of the model that the gateway knows."""
-        return self.gateway.role._view.list_replicas("models", MODEL)
+        return self.gateway.role._directory.list_replicas("models", MODEL)
 
     def find_server(self, name: str) -> platform.PlatformServer:
         """Returns a backend server."""
@@ -382,7 +382,7 @@
     plain = cluster.find_server("p0")
     cluster.record("server", f"leaves: {await plain.deregister()}")
     await cluster.wait_for(
-        lambda: len(cluster.gateway.role._view.list_replicas("desk", "")) == 1
+        lambda: len(cluster.gateway.role._directory.list_replicas("desk", "")) == 1
     )
     plain.stop()
     await cluster.send_request("/alerts/9", b"still")
