--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,6 +1,6 @@
-"""Shows the whole path once: run `python3 examples/demo.py`.
+"""Demonstrates a whole deployment: run `python3 examples/demo.py`.
 
-On a machine with Python 3.11 and nothing else it makes a virtual environment,
+On a machine that has only Python 3.11 it creates a virtual environment,
 installs the project, starts three availability zones of three VMs with their
 backend servers, serves one streamed and one non-idempotent request, prints
 the status, and stops what it started.
@@ -26,10 +26,10 @@
 
 
 def set_up() -> None:
-    """Goes on in a virtual environment with the project installed."""
+    """Installs the project in a virtual environment and restarts there."""
     python = ENVIRONMENT / "bin" / "python"
     if not python.exists():
-        say("making a virtual environment")
+        say("creating a virtual environment")
         subprocess.run([sys.executable, "-m", "venv", ENVIRONMENT], check=True)
     say("installing")
     subprocess.run(
@@ -48,14 +48,14 @@
 
 
 def make_key() -> str:
-    """Returns a UUID of version 7, which carries the present time."""
+    """Returns a UUID of version 7, which contains the current time."""
     number = int(time.time() * 1000) << 80 | 7 << 76
     number |= secrets.randbits(12) << 64 | 2 << 62 | secrets.randbits(62)
     return str(uuid.UUID(int=number))
 
 
 def configure(deployment: deployment_module.Deployment) -> None:
-    """Creates the services and puts the ordinary preset in force."""
+    """Creates the services and activates the preset `ordinary`."""
     operate = deployment.operate
     say(operate("cluster", "init", "kahikatea").strip())
     operate(
@@ -76,7 +76,7 @@
 
 
 def show_stream(vm: deployment_module.Vm) -> None:
-    """Sends one streamed request and prints the answer as it comes."""
+    """Sends one streamed request and prints the response as it arrives."""
     body = {
         "model": "draft-model",
         "stream": True,
@@ -101,7 +101,7 @@
 
 
 def show_call(vm: deployment_module.Vm) -> None:
-    """Sends one non-idempotent call, and the same again."""
+    """Sends a non-idempotent call twice with the same key."""
     key = make_key()
     for attempt in ("first", "again"):
         response = deployment_module.call(
@@ -131,7 +131,7 @@
 
 
 def run_in(deployment: deployment_module.Deployment) -> None:
-    """Starts the processes and shows what they do."""
+    """Starts the processes, sends requests and prints the status."""
     say("starting 9 entries, 9 control processes and the backend servers")
     deployment.start_system()
     weights_url = deployment.start_weights()
@@ -144,7 +144,7 @@
     first = deployment.vms[0]
     wait(
         lambda: len(deployment.get_status()["controls"]) == len(deployment.vms),
-        "all control processes answer",
+        "all control processes report their status",
     )
     configure(deployment)
     wait(
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -1,7 +1,7 @@
-"""Starts a whole deployment of real processes on loopback addresses.
+"""Starts a complete deployment of real processes on loopback addresses.
 
-Used by the demonstration, the tests and the measurements; the product itself
-starts no process. Only the standard library is needed here.
+Used by the demonstration, the tests and the benchmarks; the product itself
+starts no processes. Needs only the standard library.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def find_port(ip: str) -> int:
-    """Returns a port that the system says is free."""
+    """Returns a port that the operating system reports as free."""
     with socket.socket() as probe:
         probe.bind((ip, 0))
         return probe.getsockname()[1]
@@ -95,7 +95,7 @@
 
 
 def wait_until(check: Any, what: str, timeout_s: float = 30.0) -> Any:
-    """Polls until a check returns something true, and returns that."""
+    """Polls until a check returns a true value, and returns that value."""
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         with contextlib.suppress(OSError, ValueError):
@@ -107,7 +107,7 @@
 
 
 class Deployment:
-    """The processes of one deployment, each started and stopped by id."""
+    """Starts and stops the processes of one deployment, each by its id."""
 
     def __init__(
         self,
@@ -117,12 +117,12 @@
         vms_per_zone: int = VMS_PER_ZONE,
         claim_skew_s: float = 1.0,
     ) -> None:
-        """Chooses addresses and ports; nothing is started yet.
+        """Chooses addresses and ports without starting any process.
 
         Args:
-            folder: Where logs and data folders go.
+            folder: Folder for logs and the data folders of the processes.
             zones: Availability zones.
-            vms_per_zone: Entry VMs in each.
+            vms_per_zone: Entry VMs in each zone.
             claim_skew_s: Clock skew that claims allow for; all processes
                 here share one clock.
         """
@@ -151,12 +151,12 @@
     # Processes.
 
     def start(self, name: str, arguments: list[str], **variables: str) -> None:
-        """Starts one process; its output goes to a file of its name."""
+        """Starts a process; its output goes to a log file with its name."""
         self._commands[name] = (arguments, variables)
         self.restart(name)
 
     def restart(self, name: str) -> None:
-        """Starts a process again that was started before and has ended."""
+        """Restarts a process that has ended."""
         arguments, variables = self._commands[name]
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / f"{name.replace('/', '-')}.log"
@@ -170,7 +170,7 @@
             )
 
     def kill(self, name: str) -> None:
-        """Ends a process at once."""
+        """Kills a process and waits for its end."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -179,7 +179,7 @@
         self.processes[name].send_signal(number)
 
     def stop(self) -> None:
-        """Ends every process that was started here."""
+        """Terminates all processes; kills those that still run 5 s later."""
         for process in self.processes.values():
             if process.poll() is None:
                 with contextlib.suppress(OSError):
@@ -193,14 +193,14 @@
                 process.kill()
                 process.wait()
 
-    # Roles and stand-ins.
+    # Entries, control processes and simulated backends.
 
     def start_entry(self, vm: Vm, **variables: str) -> None:
         """Starts the entry of a VM."""
         self.start(
             f"{vm.zone}/{vm.name}/entry",
             ["hickorylead", "entry"],
-            **self._describe(vm, vm.entry_peer_port),
+            **self._make_settings(vm, vm.entry_peer_port),
             HICKORYLEAD_CALLER_PORT=str(vm.caller_port),
             HICKORYLEAD_TOKENS=",".join(
                 f"{token}={workspace}" for workspace, token in TOKENS.items()
@@ -212,21 +212,21 @@
     def start_control(self, vm: Vm, **variables: str) -> None:
         """Starts the control process of a VM."""
         if vm.has_disk:
-            variables["HICKORYLEAD_DATA_FOLDER"] = str(self.find_data(vm))
+            variables["HICKORYLEAD_DATA_FOLDER"] = str(self.get_data_folder(vm))
         self.start(
             f"{vm.zone}/{vm.name}/control",
             ["hickorylead", "control"],
-            **self._describe(vm, vm.control_peer_port),
+            **self._make_settings(vm, vm.control_peer_port),
             HICKORYLEAD_HTTP_PORT=str(vm.control_http_port),
             HICKORYLEAD_CLOCK_SKEW_S=str(self.claim_skew_s),
             **variables,
         )
 
-    def find_data(self, vm: Vm) -> pathlib.Path:
+    def get_data_folder(self, vm: Vm) -> pathlib.Path:
         """Returns the data folder of a VM."""
         return self.folder / "data" / f"{vm.zone}-{vm.name}"
 
-    def _describe(self, vm: Vm, peer_port: int) -> dict[str, str]:
+    def _make_settings(self, vm: Vm, peer_port: int) -> dict[str, str]:
         return {
             "HICKORYLEAD_VM": vm.name,
             "HICKORYLEAD_ZONE": vm.zone,
@@ -276,7 +276,7 @@
         number = self.zones.index(zone) + 1
         ip = f"127.0.{100 + number}.1"
         port = 20_000
-        while not self._are_free(ip, port, vms):
+        while not self._are_ports_free(ip, port, vms):
             port += 1000
         entries = ",".join(vm.url for vm in self.list_zone(zone))
         arguments = [
@@ -293,7 +293,7 @@
         return ip, port
 
     @staticmethod
-    def _are_free(ip: str, port: int, count: int) -> bool:
+    def _are_ports_free(ip: str, port: int, count: int) -> bool:
         for number in range(port, port + count):
             with socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -316,13 +316,14 @@
         )
         return f"http://{ip}:{port}"
 
-    # Questions.
+    # Operator commands and status queries.
 
     def operate(self, *arguments: str, vm: Vm | None = None) -> str:
-        """Runs an operator's command and returns what it prints.
+        """Runs an operator command and returns its output.
 
         Raises:
-            RuntimeError: It failed; the message is what it said.
+            RuntimeError: The command failed; the message has its exit code
+                and error output.
         """
         code, output, error = self.try_operate(*arguments, vm=vm)
         if code:
@@ -332,8 +333,8 @@
     def try_operate(
         self, *arguments: str, vm: Vm | None = None
     ) -> tuple[int, str, str]:
-        """Runs an operator's command; returns exit code and output."""
-        done = subprocess.run(
+        """Runs an operator command; returns its exit code and outputs."""
+        completed = subprocess.run(
             [sys.executable, "-m", "hickorylead", *arguments],
             capture_output=True,
             text=True,
@@ -344,15 +345,15 @@
                 "HICKORYLEAD_OPERATOR_TOKEN": OPERATOR_TOKEN,
             },
         )
-        return done.returncode, done.stdout, done.stderr
+        return completed.returncode, completed.stdout, completed.stderr
 
     def get_status(self, vm: Vm | None = None) -> Any:
-        """Returns the status as an entry tells it."""
+        """Returns the status that an entry reports."""
         url = f"{(vm or self.vms[0]).url}/admin/status"
         return call("GET", url, token=OPERATOR_TOKEN).load()
 
     def count_serving(self, service: str, vm: Vm | None = None) -> int:
-        """Returns how many replicas of a service serve, in all zones."""
+        """Returns the number of serving replicas of a service in all zones."""
         return sum(
             row["serving"]
             for control in self.get_status(vm)["controls"]
@@ -361,5 +362,5 @@
         )
 
     def is_ready(self, vm: Vm) -> bool:
-        """Says whether an entry may be sent callers."""
+        """Returns whether an entry is ready for callers."""
         return call("GET", f"{vm.url}/readyz").status == 200
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,4 +1,4 @@
-"""Three nodes agree on who may give orders, with time given from outside."""
+"""Three nodes agree on who may issue orders; the caller supplies the time."""
 
 import random
 
@@ -14,11 +14,11 @@
 }
 
 
-def run(node, effects, now):
+def deliver(node, effects, now):
     for effect in effects:
         if effect.node in leases:
             replies = leases[effect.node].receive(effect.message, now)
-            run(effect.node, replies, now)
+            deliver(effect.node, replies, now)
 
 
 holder = ""
@@ -27,10 +27,10 @@
     if tick == 120:
         del leases[holder]  # The holder dies at 12 s.
     for node, lease in list(leases.items()):
-        run(node, lease.tick(now), now)
+        deliver(node, lease.tick(now), now)
     held = [n for n, lease in leases.items() if lease.may_issue_orders(now)]
     assert len(held) <= 1
     if held:
         holder = held[0]
 
-print(f"{holder} gives orders under number {leases[holder].fencing_number}")
+print(f"{holder} issues orders under number {leases[holder].fencing_number}")
--- a/tests/claims/claims.feature
+++ b/tests/claims/claims.feature
@@ -41,7 +41,7 @@
     request must be refused at once as not run, with a retry delay: it could
     already run in another zone.
     Given a deployment in three zones
-    When zone "buda-hall" is cut off
+    When zone "buda-hall" is isolated
     And a new key is sent through "buda-hall"
     And 2 s pass
     Then the call is refused as not run with code "claim_unavailable"
--- a/tests/consensus/voter.feature
+++ b/tests/consensus/voter.feature
@@ -30,11 +30,11 @@
     change submitted there must be refused as not applied, with a retry delay.
     It must not take effect later.
     Given a deployment in three zones
-    When zone "buda-hall" is cut off
+    When zone "buda-hall" is isolated
     And 5 s pass
     And an operator in "buda-hall" submits a change
     Then the change is refused within 6 s as certainly not applied
-    When all cuts are mended
+    When all partitions are healed
     And 20 s pass
     Then the refused change is in force nowhere
 
--- a/tests/lease/zone.feature
+++ b/tests/lease/zone.feature
@@ -24,7 +24,7 @@
     Servers and entries report it, and the new holder must use a higher one, or
     servers that check fencing numbers would refuse its orders for good.
     Given a deployment whose engines check fencing numbers
-    When all control processes of zone "buda-hall" restart at once
+    When all control processes of zone "buda-hall" restart at the same time
     Then within 12 s one process holds a fencing number above the old one
     When a member of a group of "buda-hall" dies
     Then within 20 s the entries of "buda-hall" may use 2 replicas of their zone
--- a/tests/placement/repair.feature
+++ b/tests/placement/repair.feature
@@ -29,7 +29,7 @@
     A zone is partitioned from the others for ten minutes. Its control processes
     repair its groups, and its callers are served all the time.
     Given a deployment in three zones
-    When zone "buda-hall" is cut off
+    When zone "buda-hall" is isolated
     And a member of a group of "buda-hall" dies
     Then within 20 s the entries of "buda-hall" may use 2 replicas of their zone
     When callers of "buda-hall" send requests for 600 s
@@ -66,7 +66,7 @@
   Scenario: Services load from the rate-limited weight store by rank
     Two services start at once, and only one group of a zone may load at a
     time. The more urgent service loads first.
-    Given no deployment yet, only its processes
+    Given the processes of a deployment that is not bootstrapped
     When two services of different rank start with one load at a time
     Then the groups of the more urgent service were formed first
 
--- a/tests/roles/safeguards.feature
+++ b/tests/roles/safeguards.feature
@@ -1,25 +1,25 @@
 Feature: Each checker fails when its safeguard is broken
 
-  A checker that cannot fail proves nothing. Here each safeguard is replaced
-  by a broken copy, one at a time, and the checker of the promise that it
-  keeps must notice. The same play with the safeguard whole must pass.
+  Each safeguard in turn is replaced by a broken copy; the checker of the
+  invariant that it protects must then fail. With all safeguards intact the
+  same fault scenario must pass.
 
   Scenario Outline: <safeguard>
-    Given the play "<play>" passes with every safeguard whole
-    When the safeguard "<safeguard>" is broken
-    Then the play fails in "<checker>"
+    Given the fault scenario "<fault scenario>" passes with every safeguard intact
+    When the safeguard "<safeguard>" is replaced by a broken copy
+    Then the fault scenario fails in "<checker>"
 
     Examples:
-      | safeguard                    | play          | checker            |
-      | only whole groups serve      | member dies   | check_whole_groups |
-      | a lost domain is noticed     | member dies   | check_whole_groups |
-      | only free VMs join a group   | member dies   | check_one_group    |
-      | restarted grantors stay silent | grantors restart | check_one_holder |
-      | orders wait out the old lease | grantors restart | check_one_holder |
-      | frames must fit the position | frames doubled | check_answers     |
-      | former attempts are dropped  | streams move  | check_answers      |
-      | only signed refusals are not run | server dies | check_not_run    |
-      | forgotten keys are refused   | holders restart | check_at_most_once |
-      | a majority must grant        | one key everywhere | check_at_most_once |
-      | leaving servers are not whole | server leaves | check_retirement  |
-      | followers never go back      | versions race | check_versions     |
+      | safeguard                                 | fault scenario                   | checker                |
+      | only complete groups serve                | member dies                      | check_complete_groups  |
+      | a lost domain is detected                 | member dies                      | check_complete_groups  |
+      | only free VMs join a group                | member dies                      | check_one_group        |
+      | restarted grantors abstain                | grantors restart                 | check_one_lease_holder |
+      | orders wait for the end of the old lease  | grantors restart                 | check_one_lease_holder |
+      | frames must fit the position              | frame repeated                   | check_responses        |
+      | frames of earlier attempts are dropped    | late frame of an earlier attempt | check_responses        |
+      | only signed refusals count as not run     | plain server dies                | check_not_run          |
+      | keys from before a restart are refused    | claim holders restart            | check_at_most_once     |
+      | a majority must grant                     | one key at every entry           | check_at_most_once     |
+      | groups with leaving servers are not ready | server leaves                    | check_retirement       |
+      | followers reject older versions           | older version received           | check_versions         |
--- a/tests/sessions/sessions.feature
+++ b/tests/sessions/sessions.feature
@@ -1,24 +1,26 @@
 @processes
-Feature: Whole sessions, as caller, operator and backend server see them
+Feature: Sessions as recorded by callers, operators and backend servers
 
-  Each session is recorded from all three sides and compared with a golden
-  file; ids, times and ports are replaced by names. `behave -D golden=write
-  tests/sessions` writes the files anew.
+  Each session is recorded at all three and compared with a golden file; ids,
+  times and ports are replaced by names. `behave -D golden=write
+  tests/sessions` rewrites the golden files.
 
-  Scenario: An ordinary day
-    Operators look around, lose a race, and switch presets; callers stream,
-    ask for whole answers, and send a work order twice.
-    When the session "ordinary day" is played
+  Scenario: Operators change presets while callers send requests
+    An operator lists services and presets, has a change refused because of its
+    expected version, and switches presets. Callers request streamed and
+    complete responses and send a work order twice.
+    When the session "normal operation" is recorded
     Then its record equals the golden file "ordinary_day.txt"
 
-  Scenario: A member of a replica dies in mid stream
-    Played in given time: a caller's stream goes on elsewhere, the group is
-    repaired with a spare, and the late VM is freed when it comes back.
-    When the session "lost member" is played
+  Scenario: A member of a replica dies during a stream
+    In simulated time: the stream continues on another replica, the group is
+    repaired with spare VMs, and the paused VM is released when it resumes.
+    When the session "lost member" is recorded
     Then its record equals the golden file "lost_member.txt"
 
-  Scenario: A zone is cut off
-    Played in given time: callers inside are served, work orders and changes
-    are refused honestly, and all comes together again.
-    When the session "cut zone" is played
+  Scenario: A zone is isolated by a network partition
+    In simulated time: callers in the zone are served, work orders and changes
+    there are refused without effect, and once the partition is healed all
+    entries follow the same configuration version.
+    When the session "isolated zone" is recorded
     Then its record equals the golden file "cut_zone.txt"
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -15,7 +15,7 @@
 
 
 def send(context, node, *, body=BODY, **fields):
-    answer = context.world.submit(
+    answer = context.simulation.submit(
         node, "dispatch", key=KEY, body=body, **fields
     )
     context.last = answer
@@ -25,21 +25,23 @@
 def find_entry(context, zone, skip=()):
     return next(
         n
-        for n in context.world.entries
+        for n in context.simulation.entries
         if nodes.get_zone(n) == zone
         and n not in skip
-        and n in context.world.roles
+        and n in context.simulation.roles
     )
 
 
 @when("one key is sent to all entries at once")
 def _(context):
-    context.answers = [send(context, node) for node in context.world.entries]
+    context.answers = [
+        send(context, node) for node in context.simulation.entries
+    ]
 
 
 @then("the servers ran it once and one caller has the response")
 def _(context):
-    assert context.world.key_runs[KEY] == 1
+    assert context.simulation.key_runs[KEY] == 1
     verdicts = [a.verdict for a in context.answers]
     assert verdicts.count(Verdict.RAN) >= 1, verdicts
     assert Verdict.NOT_RUN not in verdicts, [a.code for a in context.answers]
@@ -48,13 +50,13 @@
 @when('a key has run through "{zone}"')
 def _(context, zone):
     first = send(context, find_entry(context, zone))
-    context.world.run(2)
+    context.simulation.run(2)
     assert first.verdict == Verdict.RAN, first
 
 
 @when('the same key is sent through "{zone}"')
 def _(context, zone):
-    age_s = context.world.now - context.last.submitted_at
+    age_s = context.simulation.now - context.last.submitted_at
     send(context, find_entry(context, zone), key_age_s=age_s)
 
 
@@ -63,12 +65,12 @@
     final = context.last.final_effect
     assert isinstance(final, events.SendResponse) and final.replayed, final
     assert final.body == b"run for " + BODY
-    assert context.world.key_runs[KEY] == 1
+    assert context.simulation.key_runs[KEY] == 1
 
 
 @when("the entry is killed while its request runs")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for server in simulation.servers.values():
         server.service_s = 5.0
     context.node = simulation.entries[0]
@@ -79,7 +81,7 @@
 
 @when("the entry is killed right after its request was answered")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.node = simulation.entries[0]
     answer = send(context, context.node)
     simulation.run_until(lambda: answer.final_effect)
@@ -88,8 +90,12 @@
 
 @when("the same key is sent through another entry")
 def _(context):
-    node = find_entry(context, context.world.zones[2])
-    send(context, node, key_age_s=context.world.now - context.last.submitted_at)
+    node = find_entry(context, context.simulation.zones[2])
+    send(
+        context,
+        node,
+        key_age_s=context.simulation.now - context.last.submitted_at,
+    )
 
 
 @then("the resend is refused as may_have_run, and the request ran once")
@@ -98,7 +104,7 @@
         context.last.final_effect
     )
     assert context.last.final_effect.problem.retry_after_s is not None
-    assert context.world.key_runs[KEY] == 1
+    assert context.simulation.key_runs[KEY] == 1
 
 
 @when('a new key is sent through "{zone}"')
@@ -127,19 +133,19 @@
 
 @when("a key that is {seconds:d} s old is sent")
 def _(context, seconds):
-    send(context, context.world.entries[0], key_age_s=seconds)
+    send(context, context.simulation.entries[0], key_age_s=seconds)
 
 
 @when('every control process outside "{zone}" restarts')
 def _(context, zone):
-    for node in context.world.controls:
+    for node in context.simulation.controls:
         if nodes.get_zone(node) != zone:
-            context.world.start(node)
+            context.simulation.start(node)
 
 
 @then("the servers ran it once")
 def _(context):
-    assert context.world.key_runs[KEY] == 1
+    assert context.simulation.key_runs[KEY] == 1
     assert context.last.verdict != Verdict.NOT_RUN or (
         context.last.code == "claim_unavailable"
     )
@@ -147,14 +153,14 @@
 
 @when('the clocks of all control processes of "{zone}" jump by {seconds:d} s')
 def _(context, zone, seconds):
-    for node in context.world.controls:
+    for node in context.simulation.controls:
         if nodes.get_zone(node) == zone:
-            context.world.skew[node] = seconds
+            context.simulation.skew[node] = seconds
 
 
 @when("no plain server can be reached and a key is sent")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for vm, server in simulation.servers.items():
         if server.is_plain:
             simulation.kill_server(vm)
@@ -164,7 +170,7 @@
 
 @when("the servers are back and the same key is sent again")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for server in simulation.servers.values():
         server.alive = True
     simulation.run(8)
@@ -181,7 +187,7 @@
 
 @when("the same key is sent with another body")
 def _(context):
-    send(context, context.world.entries[4], body=b"crew 8")
+    send(context, context.simulation.entries[4], body=b"crew 8")
 
 
 @then('the key "{key}" is {read}')
--- a/tests/steps/consensus_steps.py
+++ b/tests/steps/consensus_steps.py
@@ -31,7 +31,7 @@
 
 @when("two operators in two zones change the configuration from one version")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     expected = get_version(simulation, simulation.controls[0])
     context.pair = [
         operator_actions.submit(
@@ -50,7 +50,7 @@
 
 @then("one change is accepted and the other refused with the winning version")
 def _(context):
-    outcomes = [context.world.outcomes[c].outcome for c in context.pair]
+    outcomes = [context.simulation.outcomes[c].outcome for c in context.pair]
     won = [o for o in outcomes if o.accepted]
     lost = [o for o in outcomes if not o.accepted]
     assert len(won) == len(lost) == 1, outcomes
@@ -60,7 +60,7 @@
 
 @when("a change is accepted and its leader is killed")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.expected = get_version(
         simulation, operator_actions.find_leader(simulation)
     )
@@ -73,7 +73,7 @@
 
 @when("the same change is sent again through another zone")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     node = next(
         n
         for n in simulation.entries
@@ -93,15 +93,15 @@
 
 @then("the resend gets the first outcome and the version is unchanged")
 def _(context):
-    outcome = context.world.outcomes["change-resent"].outcome
+    outcome = context.simulation.outcomes["change-resent"].outcome
     assert outcome.accepted and outcome.version == context.version, outcome
-    leader = operator_actions.find_leader(context.world)
-    assert get_version(context.world, leader) == context.version
+    leader = operator_actions.find_leader(context.simulation)
+    assert get_version(context.simulation, leader) == context.version
 
 
 @when('an operator in "{zone}" submits a change')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     context.submitted_at = simulation.now
     node = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
     operator_actions.submit(
@@ -114,7 +114,7 @@
 
 @then("the change is refused within {seconds:g} s as certainly not applied")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     simulation.run_until(
         lambda: "cut-off" in simulation.outcomes, limit_s=seconds
     )
@@ -124,14 +124,14 @@
 
 @then("the refused change is in force nowhere")
 def _(context):
-    for node, role in context.world.roles.items():
-        if node in context.world.entries:
+    for node, role in context.simulation.roles.items():
+        if node in context.simulation.entries:
             assert "never" not in role.configuration.drained, node
 
 
 @when("the leader is partitioned from all others")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.old = operator_actions.find_leader(simulation)
     context.version = get_version(simulation, context.old)
     for other in (*simulation.controls, *simulation.entries):
@@ -141,7 +141,7 @@
 
 @then("no two processes lead at once, and a new one leads within {seconds:g} s")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
 
     def has_new_leader():
         leaders = [
@@ -160,7 +160,7 @@
     " {seconds:g} s"
 )
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     node = next(
         n
         for n in simulation.entries
@@ -174,7 +174,7 @@
 
 @when("a voter that is not the leader is partitioned for {seconds:g} s")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     context.old = operator_actions.find_leader(simulation)
     context.term = simulation.roles[context.old].voter.term
     cut = next(v for v in simulation.voters if v != context.old)
@@ -188,14 +188,14 @@
 
 @then("the leader and its term are as before")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     assert operator_actions.find_leader(simulation) == context.old
     assert simulation.roles[context.old].voter.term == context.term
 
 
 @when("each voter loses its disk, one after another")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.version = operator_actions.apply(
         simulation, changes.DrainVm("kept", True)
     )
@@ -217,7 +217,7 @@
 
 @then("every accepted change is still in force")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     version = operator_actions.apply(simulation, SWITCH)
     assert version == context.version + 1
     wait_for_version(simulation, version, 8)
@@ -227,7 +227,7 @@
 
 @when("two voters lose their disks at the same time")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.version = get_version(
         simulation, operator_actions.find_leader(simulation)
     )
@@ -238,7 +238,7 @@
 
 @then("no process leads and the version in force is as before")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     assert not operator_actions.find_leader(simulation)
     for node in simulation.entries:
         assert get_version(simulation, node) == context.version, node
@@ -246,7 +246,7 @@
 
 @then("the entries continue to serve requests")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     answers = [
         simulation.submit(node, "assistant") for node in simulation.entries
     ]
@@ -256,7 +256,7 @@
 
 @when("a voter is stopped during {count:d} changes")
 def _(context, count):
-    simulation = context.world
+    simulation = context.simulation
     leader = operator_actions.find_leader(simulation)
     context.away = next(v for v in simulation.voters if v != leader)
     simulation.kill(context.away)
@@ -274,7 +274,7 @@
 
 @then("it has all of them within {seconds:g} s of its start, from one snapshot")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     before = simulation.sent["SnapshotRequest"]
     simulation.start(context.away)
     role = simulation.roles[context.away]
@@ -289,22 +289,24 @@
 
 @when("one message in ten is lost")
 def _(context):
-    context.world.loss = 0.1
+    context.simulation.loss = 0.1
 
 
 @when("a change is accepted")
 def _(context):
-    context.version = operator_actions.apply(context.world, SWITCH)
+    context.version = operator_actions.apply(context.simulation, SWITCH)
 
 
 @then("all processes apply it within {seconds:g} s")
 def _(context, seconds):
-    context.took_s = wait_for_version(context.world, context.version, seconds)
+    context.took_s = wait_for_version(
+        context.simulation, context.version, seconds
+    )
 
 
 @when('two control processes of "{zone}" get a change before its isolation')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     own = [n for n in simulation.controls if nodes.get_zone(n) == zone]
     behind = own[1]
     for other in (*simulation.controls, *simulation.entries):
@@ -327,7 +329,7 @@
 
 @when('an entry of "{zone}" restarts')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     context.node = next(
         n for n in simulation.entries if nodes.get_zone(n) == zone
     )
@@ -336,7 +338,7 @@
 
 @then("it is not ready before it has the version that was in force")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     role = simulation.roles[context.node]
     for _ in range(200):
         simulation.run(0.1)
@@ -351,7 +353,7 @@
 
 @when("a change is accepted and every process restarts at once")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.version = operator_actions.apply(
         simulation, changes.DrainVm("kept", True)
     )
@@ -361,20 +363,20 @@
 
 @then("the change is in force everywhere within {seconds:g} s")
 def _(context, seconds):
-    wait_for_version(context.world, context.version, seconds)
-    for node in context.world.entries:
-        assert "kept" in context.world.roles[node].configuration.drained
+    wait_for_version(context.simulation, context.version, seconds)
+    for node in context.simulation.entries:
+        assert "kept" in context.simulation.roles[node].configuration.drained
 
 
 @when("the leader is killed")
 def _(context):
-    context.killed = operator_actions.find_leader(context.world)
-    context.world.kill(context.killed)
+    context.killed = operator_actions.find_leader(context.simulation)
+    context.simulation.kill(context.killed)
 
 
 @then("a change submitted in its zone is accepted within {seconds:g} s")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     zone = nodes.get_zone(context.killed)
     node = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
     end = simulation.now + seconds
--- a/tests/steps/embedding_steps.py
+++ b/tests/steps/embedding_steps.py
@@ -1,4 +1,4 @@
-"""Steps about embedding the reducers."""
+"""Steps about the use of the reducers as a library."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     assert code == path.read_text()
     lines = [line for line in code.splitlines() if line.strip()]
     assert len(lines) <= count, len(lines)
-    done = run_python(str(path))
-    assert done.returncode == 0, done.stderr
-    assert "gives orders under number" in done.stdout
+    completed = run_python(str(path))
+    assert completed.returncode == 0, completed.stderr
+    assert "issues orders under number" in completed.stdout
 
 
 @then("the reducers import without any other library")
 def _(_):
-    done = run_python("-c", PROGRAM)
-    assert done.returncode == 0, done.stderr
+    completed = run_python("-c", PROGRAM)
+    assert completed.returncode == 0, completed.stderr
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -241,7 +241,7 @@
     assert vm.has_disk
     context.killed = []
     kill(context, f"{vm.zone}/{vm.name}/control")
-    shutil.rmtree(context.deployment.find_data(vm))
+    shutil.rmtree(context.deployment.get_data_folder(vm))
 
 
 @when("a control process is started with another VM's data folder")
@@ -251,7 +251,9 @@
     arguments, variables = deployment._commands[name]
     variables = {
         **variables,
-        "HICKORYLEAD_DATA_FOLDER": str(deployment.find_data(deployment.vms[3])),
+        "HICKORYLEAD_DATA_FOLDER": str(
+            deployment.get_data_folder(deployment.vms[3])
+        ),
     }
     deployment.start("wrong-folder", arguments, **variables)
     context.process = deployment.processes["wrong-folder"]
--- a/tests/steps/fault_steps.py
+++ b/tests/steps/fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play generated faults."""
+"""Steps that inject generated faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 @then(
-    "generated faults break no promise, in {plays:d} plays of up to {count:d}"
+    "generated faults violate no invariant, in {runs:d} runs of up to {count:d}"
     " faults"
 )
-def _(_, plays, count):
+def _(_, runs, count):
     @hypothesis.settings(
-        max_examples=plays,
+        max_examples=runs,
         phases=[hypothesis.Phase.generate],
         deadline=None,
         derandomize=True,
@@ -33,12 +33,12 @@
         strategies.integers(0, 99),
         strategies.lists(FAULT, min_size=2, max_size=count),
     )
-    def play(seed, drawn):
-        faults.run_play(seed, drawn)
+    def run_drawn_faults(seed, drawn):
+        faults.run_faults(seed, drawn)
 
-    play()
+    run_drawn_faults()
 
 
-@then("the play of seed {seed:d} breaks no promise")
+@then("the faults of seed {seed:d} violate no invariant")
 def _(_, seed):
-    faults.run_play(seed, faults.draw_faults(seed, 6))
+    faults.run_faults(seed, faults.draw_faults(seed, 6))
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -22,13 +22,13 @@
 @when('the holder of "{zone}" is paused for {seconds:g} s')
 def _(context, zone, seconds):
     context.zone = zone
-    context.old = get_holder(context.world, zone)
-    context.world.pause(context.old, seconds)
+    context.old = get_holder(context.simulation, zone)
+    context.simulation.pause(context.old, seconds)
 
 
 @then("another process issues orders within {seconds:g} s")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     context.took_s = simulation.run_until(
         lambda: [
             n
@@ -43,12 +43,12 @@
 
 @then('one process issues orders in "{zone}"')
 def _(context, zone):
-    get_holder(context.world, zone)
+    get_holder(context.simulation, zone)
 
 
 @when('two control processes of "{zone}" restart, but not its lease holder')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     context.holder = get_holder(simulation, zone)
     for node in simulation.controls:
         if nodes.get_zone(node) == zone and node != context.holder:
@@ -61,7 +61,7 @@
     " passed"
 )
 def _(context, zone, seconds):
-    simulation = context.world
+    simulation = context.simulation
     while simulation.now < context.restarted_at + seconds:
         simulation.run(0.1)
         others = set(operator_actions.list_lease_holders(simulation, zone)) - {
@@ -76,7 +76,7 @@
     "within {seconds:g} s one process holds a fencing number above the old one"
 )
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     old = max(s.state.fence for s in simulation.servers.values())
     zone = "buda-hall"
     old = max(
@@ -95,7 +95,7 @@
 
 @when('a member of a group of "{zone}" dies')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     vm = next(
         vm
         for vm, s in sorted(simulation.servers.items())
@@ -108,16 +108,16 @@
 
 @when('the holder of "{zone}" is killed')
 def _(context, zone):
-    context.order_count = len(context.world.log)
-    context.world.kill(get_holder(context.world, zone))
+    context.order_count = len(context.simulation.log)
+    context.simulation.kill(get_holder(context.simulation, zone))
 
 
 @then('no order has been issued in "{zone}" since')
 def _(context, zone):
-    get_holder(context.world, zone)
+    get_holder(context.simulation, zone)
     issued = [
         line
-        for line in context.world.log[context.order_count :]
+        for line in context.simulation.log[context.order_count :]
         if zone in line
     ]
     assert not issued, issued
@@ -149,7 +149,7 @@
 
 @when('a late order of a lost holder assigns a free VM of "{zone}"')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     holder = get_holder(simulation, zone)
     context.vm = next(
         vm
@@ -167,7 +167,7 @@
         service="assistant",
         weights="lead@1",
     )
-    simulation.call_later(9, lambda: simulation._order(holder, late))
+    simulation.call_later(9, lambda: simulation._deliver_order(holder, late))
     simulation.kill(holder)
     simulation.run(9.5)
     assert simulation.servers[context.vm].state.group == "assistant/late"
@@ -175,11 +175,13 @@
 
 @then("that VM is freed within {seconds:g} s and never served")
 def _(context, seconds):
-    server = context.world.servers[context.vm]
-    for node in context.world.entries:
+    server = context.simulation.servers[context.vm]
+    for node in context.simulation.entries:
         for _ in range(5):
-            context.world.submit(node, "assistant")
-    context.world.run_until(lambda: not server.state.group, limit_s=seconds)
+            context.simulation.submit(node, "assistant")
+    context.simulation.run_until(
+        lambda: not server.state.group, limit_s=seconds
+    )
     assert not server.runs
 
 
@@ -187,7 +189,7 @@
 def _(context, zone):
     context.server = next(
         s
-        for s in context.world.servers.values()
+        for s in context.simulation.servers.values()
         if s.state.zone == zone and s.state.group
     )
     state = context.server.state
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -361,10 +361,13 @@
 
 @given("three coordinators, one of which ordered an empty server to load")
 def _(context):
-    context.world = fleet_simulation.FleetSimulation()
-    context.world.bootstrap()
+    context.simulation = fleet_simulation.FleetSimulation()
+    context.simulation.bootstrap()
     context.server = make_server("i1")
-    simulation, node = context.world, context.world.coordinator_names[0]
+    simulation, node = (
+        context.simulation,
+        context.simulation.coordinator_names[0],
+    )
     simulation.apply(node, events.HeartbeatArrived(context.server))
     order = orders.Stage("large")
     simulation.apply(node, orders.OrderAnswered("i1", order, 202))
@@ -373,7 +376,10 @@
 
 @when("it restarts with what its disk holds")
 def _(context):
-    simulation, node = context.world, context.world.coordinator_names[0]
+    simulation, node = (
+        context.simulation,
+        context.simulation.coordinator_names[0],
+    )
     simulation.kill(node)
     simulation.start(node)
     simulation.run(0.1)
@@ -381,12 +387,12 @@
 
 @then("all three list the server as loading until it reports the model")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for role in simulation.coordinators.values():
         assert role.registry.instances["i1"].loading == "large"
-    heartbeat = attrs.evolve(context.server, sequence=9, staged=("large",))
+    reported = attrs.evolve(context.server, sequence=9, staged=("large",))
     simulation.apply(
-        simulation.coordinator_names[0], events.HeartbeatArrived(heartbeat)
+        simulation.coordinator_names[0], events.HeartbeatArrived(reported)
     )
     simulation.run(0.1)
     for role in simulation.coordinators.values():
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -18,7 +18,7 @@
 
 @when('the entries of "{zone}" are killed and restarted, one after another')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     context.order_count = len(simulation.log)
     for node in simulation.entries:
         if nodes.get_zone(node) == zone:
@@ -32,7 +32,7 @@
 def _(context, zone):
     issued = [
         line
-        for line in context.world.log[context.order_count :]
+        for line in context.simulation.log[context.order_count :]
         if f" {zone}/" in line
     ]
     assert not issued, issued
@@ -40,20 +40,20 @@
 
 @when('a member of "{zone}" is paused for {seconds:g} s')
 def _(context, zone, seconds):
-    context.order_count = len(context.world.log)
-    context.vm = pick_member(context.world, zone, rank=0)
-    context.world.pause_server(context.vm, seconds)
+    context.order_count = len(context.simulation.log)
+    context.vm = pick_member(context.simulation, zone, rank=0)
+    context.simulation.pause_server(context.vm, seconds)
     if seconds > 10:
-        context.world.run(6)
+        context.simulation.run(6)
 
 
 @then("the paused member is in no group that was rebuilt without it")
 def _(context):
-    state = context.world.servers[context.vm].state
+    state = context.simulation.servers[context.vm].state
     if state.group:
         group_members = [
             s.state
-            for s in context.world.servers.values()
+            for s in context.simulation.servers.values()
             if s.state.group == state.group
         ]
         assert len(group_members) == state.size
@@ -62,7 +62,7 @@
 
 @when('half of all messages are lost while a domain of "{zone}" restarts')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     simulation.loss = 0.5
     for vm, server in simulation.servers.items():
         if server.state.zone == zone and not server.is_plain:
@@ -77,7 +77,7 @@
 
 @then('the control processes of "{zone}" list exactly the servers present')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     present = {
         vm
         for vm, s in simulation.servers.items()
@@ -91,7 +91,7 @@
 
 @when('requests run and a server of "{zone}" announces that it is leaving')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     context.answers = [
         simulation.submit(node, "assistant", max_tokens=100)
         for node in simulation.entries
@@ -126,4 +126,4 @@
 
 @then("the leaving server is in no group")
 def _(context):
-    assert not context.world.servers[context.vm].state.group
+    assert not context.simulation.servers[context.vm].state.group
--- a/tests/steps/placement_steps.py
+++ b/tests/steps/placement_steps.py
@@ -18,7 +18,7 @@
 
 @then("the other member stayed in its group")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     dead = simulation.servers[context.dead].state
     members = [
         s.state
@@ -33,7 +33,7 @@
     " repair"
 )
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     vm = next(
         vm
         for vm, s in sorted(simulation.servers.items())
@@ -64,7 +64,7 @@
 
 @then('every VM of "{zone}" that is in a group serves')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     groups = {}
     for server in simulation.servers.values():
         if server.alive and server.state.zone == zone and server.state.group:
@@ -77,7 +77,7 @@
 
 @when('all VMs of domain "{domain}" fail')
 def _(context, domain):
-    simulation = context.world
+    simulation = context.simulation
     for vm, server in simulation.servers.items():
         if server.state.domain == domain:
             simulation.kill_server(vm)
@@ -85,7 +85,7 @@
 
 @when('callers of "{zone}" send requests for {seconds:d} s')
 def _(context, zone, seconds):
-    simulation = context.world
+    simulation = context.simulation
     own = [n for n in simulation.entries if nodes.get_zone(n) == zone]
     context.answers = []
     for second in range(seconds):
@@ -119,14 +119,14 @@
 def list_live_engines(context, zone):
     return [
         s.state
-        for s in context.world.servers.values()
+        for s in context.simulation.servers.values()
         if s.alive and s.state.zone == zone and not s.is_plain
     ]
 
 
 @when('an operator switches to the preset "maintenance" while requests run')
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     operator_actions.apply(
         simulation, changes.ApplyPreset(model.Preset("maintenance", ()))
     )
@@ -141,7 +141,7 @@
 
 @then("no replica serves and every VM is free")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for server in simulation.servers.values():
         assert server.is_plain or not server.state.group, server.state
     refused = simulation.submit(simulation.entries[0], "assistant")
@@ -150,7 +150,7 @@
 
 @when("the version of the service changes")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.gaps = []
 
     def watch():
@@ -176,7 +176,7 @@
 
 @then("within {seconds:g} s all replicas hold the new version")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
 
     def all_new():
         held = [
@@ -197,7 +197,7 @@
 
 def start_two_ranks(context, policy, *, engines, urgent, ordinary):
     """Starts one zone with an urgent service and one of a lower rank."""
-    simulation = context.world = simulation_module.Simulation(
+    simulation = context.simulation = simulation_module.Simulation(
         policy=policy, zones=("a",)
     )
     simulation.checkers = list(invariants.ALL)
@@ -230,7 +230,9 @@
 def _(context):
     formed = list(
         dict.fromkeys(
-            line.split()[4] for line in context.world.log if "Assign" in line
+            line.split()[4]
+            for line in context.simulation.log
+            if "Assign" in line
         )
     )
     services = [group.split("/")[0] for group in formed]
@@ -239,7 +241,7 @@
 
 @when("a service with groups of {size:d} VMs is applied")
 def _(context, size):
-    simulation = context.world
+    simulation = context.simulation
     service = model.Service("big", model="m", version="1", group_size=size)
     context.change = operator_actions.submit(
         simulation, changes.ApplyService(service)
@@ -249,7 +251,7 @@
 
 @then("the change is refused because it does not fit")
 def _(context):
-    outcome = context.world.outcomes[context.change].outcome
+    outcome = context.simulation.outcomes[context.change].outcome
     assert outcome.reason == "does_not_fit", outcome
     assert "largest one has 6" in outcome.detail, outcome
 
@@ -270,7 +272,7 @@
 
 @when("the group of the more urgent service loses a member")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     vm = next(
         vm
         for vm, s in sorted(simulation.servers.items())
@@ -282,7 +284,7 @@
 
 @then("within {seconds:g} s the more urgent service serves again")
 def _(context, seconds):
-    simulation = context.world
+    simulation = context.simulation
     role = simulation.roles[simulation.entries[0]]
     context.took_s = simulation.run_until(
         lambda: role.table.list_replicas("urgent"), limit_s=seconds
@@ -309,7 +311,7 @@
 
 @when('all processes and VMs of zone "{zone}" fail')
 def _(context, zone):
-    simulation = context.world
+    simulation = context.simulation
     for node in list_all_nodes(simulation, zone):
         simulation.kill(node)
     for vm, server in simulation.servers.items():
@@ -319,13 +321,13 @@
 
 @then("the remaining zones run {count:d} replicas")
 def _(context, count):
-    simulation = context.world
+    simulation = context.simulation
     assert sum(count_running(simulation, z) for z in simulation.zones) == count
 
 
 @when('zone "{zone}" returns and traffic runs for {seconds:d} s')
 def _(context, zone, seconds):
-    simulation = context.world
+    simulation = context.simulation
     for node in list_all_nodes(simulation, zone):
         simulation.start(node)
     for vm, server in simulation.servers.items():
@@ -347,7 +349,7 @@
 
 @then("each zone runs {count:d} replicas and every request succeeded")
 def _(context, count):
-    simulation = context.world
+    simulation = context.simulation
     running = {
         zone: count_running(simulation, zone) for zone in simulation.zones
     }
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -14,7 +14,7 @@
 
 
 def start_streams(context, tokens=100):
-    simulation = context.world
+    simulation = context.simulation
     context.answers = [
         simulation.submit(node, "assistant", max_tokens=tokens)
         for node in simulation.entries
@@ -25,7 +25,7 @@
 
 def find_running(context):
     """Returns a running attempt: (server, attempt id, entry, request)."""
-    for server in context.world.servers.values():
+    for server in context.simulation.servers.values():
         for attempt_id, (node, request_id) in server.streams.items():
             return server, attempt_id, node, request_id
     raise AssertionError("no stream is running")
@@ -38,15 +38,15 @@
     group = server.state.group
     vm = next(
         vm
-        for vm, s in context.world.servers.items()
+        for vm, s in context.simulation.servers.items()
         if s.state.group == group and s.state.rank == 1
     )
-    context.world.kill_server(vm)
+    context.simulation.kill_server(vm)
 
 
 @when("the connection of a running stream stalls")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.answers = [
         simulation.submit(simulation.entries[0], "assistant", max_tokens=200)
     ]
@@ -61,7 +61,7 @@
 def _(context):
     runs = [
         run
-        for server in context.world.servers.values()
+        for server in context.simulation.servers.values()
         for run in server.runs
         if run.request_id == context.request_id
     ]
@@ -72,12 +72,12 @@
 def _(context, seconds):
     start_streams(context)
     server, *_ = find_running(context)
-    context.world.pause_server(server.state.vm, seconds)
+    context.simulation.pause_server(server.state.vm, seconds)
 
 
 @when("a stream gets duplicate, late and foreign frames")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     start_streams(context)
     server, attempt_id, node, request_id = find_running(context)
     other = next(
@@ -94,7 +94,7 @@
 
 @when("the server of a non-idempotent request dies while it runs")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for server in simulation.servers.values():
         server.service_s = 5.0
     context.last = simulation.submit(
@@ -109,7 +109,7 @@
 
 @when("one domain of each zone fails under traffic")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     context.answers = []
     count = 0
 
@@ -134,11 +134,13 @@
 
 @then("extra attempts are below {share:d} in 100 requests")
 def _(context, share):
-    attempts = sum(len(s.runs) for s in context.world.servers.values())
+    attempts = sum(len(s.runs) for s in context.simulation.servers.values())
     ended = sum(a.verdict == Verdict.RAN for a in context.answers)
     assert ended >= 0.97 * len(context.answers), ended
     histories = [
-        context.world.roles[a.entry].dispatcher.trails.get(a.request.request_id)
+        context.simulation.roles[a.entry].dispatcher.trails.get(
+            a.request.request_id
+        )
         for a in context.answers
     ]
     steps = [s.code for h in histories if h for s in h.steps]
@@ -150,14 +152,14 @@
 @when("an entry with streams in flight is asked to stop")
 def _(context):
     start_streams(context)
-    context.node = context.world.entries[0]
-    context.world.deliver(context.node, interface.StopRequested())
+    context.node = context.simulation.entries[0]
+    context.simulation.deliver(context.node, interface.StopRequested())
 
 
 @when("a request is sent to the stopping entry")
 def _(context):
-    assert not context.world.roles[context.node].is_ready()
-    context.late = context.world.submit(context.node, "assistant")
+    assert not context.simulation.roles[context.node].is_ready()
+    context.late = context.simulation.submit(context.node, "assistant")
 
 
 @then("the request to the stopping entry was refused as not run")
@@ -169,7 +171,7 @@
 
 @then("the entry has stopped")
 def _(context):
-    assert context.node in context.world.stopped
+    assert context.node in context.simulation.stopped
 
 
 @when(
@@ -177,7 +179,7 @@
     " within a second"
 )
 def _(context, count, deadline):
-    simulation = context.world
+    simulation = context.simulation
     context.answers = []
     for number in range(count):
         simulation.call_later(
@@ -257,7 +259,7 @@
 
 @when("a caller disconnects in mid stream")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     answer = simulation.submit(
         simulation.entries[0], "assistant", max_tokens=500
     )
@@ -271,15 +273,15 @@
 
 @then("no server runs its request")
 def _(context):
-    assert not any(s.batch.running for s in context.world.servers.values())
+    assert not any(s.batch.running for s in context.simulation.servers.values())
     assert operator_actions.count_replicas(
-        context.world, context.world.entries[0]
+        context.simulation, context.simulation.entries[0]
     )
 
 
 def run_traffic(context, seconds):
     """Sends requests in one zone and counts the runs of its two replicas."""
-    simulation = context.world
+    simulation = context.simulation
     own = [n for n in simulation.entries if n.startswith("buda-hall")]
     pair = [context.slow, context.fast]
     before = [len(server.runs) for server in pair]
@@ -303,7 +305,7 @@
 def _(context, zone, factor, seconds):
     leading = [
         s
-        for _, s in sorted(context.world.servers.items())
+        for _, s in sorted(context.simulation.servers.items())
         if s.state.zone == zone and s.state.group and s.state.rank == 0
     ]
     context.slow, context.fast = leading
@@ -339,7 +341,7 @@
 
 def submit_crashing_request(context, number=0):
     """Submits a request that crashes each server that runs it."""
-    simulation = context.world
+    simulation = context.simulation
     simulation.crashing_bodies.add(CRASHING_BODY)
     context.last = simulation.submit(
         simulation.entries[number],
@@ -361,7 +363,7 @@
 def _(context, count):
     for _ in range(count):
         submit_crashing_request(context)
-        context.world.run(6.0)
+        context.simulation.run(6.0)
 
 
 @when(
@@ -371,12 +373,12 @@
 def _(context, count):
     for number in range(count):
         submit_crashing_request(context, number)
-        context.world.run(6.0)
+        context.simulation.run(6.0)
 
 
 @when("a request crashes one server through an entry of each zone")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     for zone in simulation.zones:
         node = next(n for n in simulation.entries if n.startswith(f"{zone}/"))
         submit_crashing_request(context, simulation.entries.index(node))
@@ -399,7 +401,7 @@
 
 @when("all entries and control processes of a zone restart")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     zone = simulation.zones[0]
     for node in (*simulation.controls, *simulation.entries):
         if node.startswith(f"{zone}/"):
@@ -408,7 +410,7 @@
 
 @then('all entries refuse it as not_run with code "{code}"')
 def _(context, code):
-    simulation = context.world
+    simulation = context.simulation
     for number, node in enumerate(simulation.entries):
         submit_crashing_request(context, number)
         simulation.run(0.5)
@@ -420,7 +422,7 @@
 
 @then("it crashed {count:d} servers at most")
 def _(context, count):
-    ended = count_crashed(context.world)
+    ended = count_crashed(context.simulation)
     assert 1 <= ended <= count, ended
 
 
@@ -444,7 +446,7 @@
 
 @then("another request gets a complete response")
 def _(context):
-    simulation = context.world
+    simulation = context.simulation
     answer = simulation.submit(
         simulation.entries[0], "assistant", max_tokens=20
     )
@@ -456,7 +458,7 @@
 
 @when("{which} refuses requests with a pause of {pause:g} s, for {seconds:g} s")
 def _(context, which, pause, seconds):
-    simulation = context.world
+    simulation = context.simulation
     leading = [
         server
         for _, server in sorted(simulation.servers.items())
@@ -509,7 +511,7 @@
     "each request is refused as not_run within {late_s:g} s, with a retry time"
 )
 def _(context, late_s):
-    simulation = context.world
+    simulation = context.simulation
     simulation.run(late_s)
     for answer in context.answers:
         problem = answer.final_effect.problem
--- a/tests/steps/safeguard_steps.py
+++ b/tests/steps/safeguard_steps.py
@@ -1,4 +1,4 @@
-"""Plays that break one safeguard at a time, to see the checkers fail."""
+"""Fault scenarios that show that a checker fails without its safeguard."""
 
 from __future__ import annotations
 
@@ -24,188 +24,199 @@
 from hickorylead.routing import table
 from hickorylead.verdict import Verdict
 
-# Plays: each drives a deployment through one failure.
+# Fault scenarios: each drives a deployment through one failure.
 
 
-def play_member_dies(world):
+def kill_member(simulation):
     vm = next(
         vm
-        for vm, s in sorted(world.servers.items())
+        for vm, s in sorted(simulation.servers.items())
         if s.state.rank == 1 and s.state.zone == "buda-hall"
     )
-    world.kill_server(vm)
+    simulation.kill_server(vm)
     for second in range(40):
-        for node in world.entries:
-            world.call_later(
-                second, lambda n=node: world.submit(n, "assistant")
+        for node in simulation.entries:
+            simulation.call_later(
+                second, lambda n=node: simulation.submit(n, "assistant")
             )
-    world.run(40)
+    simulation.run(40)
 
 
-def play_grantors_restart(world):
+def restart_grantors(simulation):
     zone = "buda-hall"
-    old = operator_actions.list_lease_holders(world, zone)[0]
-    for node in world.controls:
+    old = operator_actions.list_lease_holders(simulation, zone)[0]
+    for node in simulation.controls:
         if nodes.get_zone(node) == zone and node != old:
-            world.start(node)
-            world.partition(old, node)
-    world.run(12)
+            simulation.start(node)
+            simulation.partition(old, node)
+    simulation.run(12)
 
 
-def play_frames_doubled(world):
-    answer = world.submit(world.entries[0], "assistant", max_tokens=60)
-    world.run(1)
-    request_id = answer.request.request_id
+def repeat_frame(simulation):
+    result = simulation.submit(
+        simulation.entries[0], "assistant", max_tokens=60
+    )
+    simulation.run(1)
+    request_id = result.request.request_id
     frame = events.FrameArrived(f"{request_id}.1", request_id, 0, 1, "again")
-    world.deliver(world.entries[0], frame)
-    world.run(20)
-
-
-def play_streams_move(world):
-    answer = world.submit(world.entries[0], "assistant", max_tokens=60)
-    world.run(1)
-    server = next(s for s in world.servers.values() if s.streams)
-    world.kill_server(server.state.vm)
-    world.run(1)
-    request_id = answer.request.request_id
-    open_ = world.roles[world.entries[0]].dispatcher
-    position = open_._pending[request_id].position
+    simulation.deliver(simulation.entries[0], frame)
+    simulation.run(20)
+
+
+def deliver_late_frame(simulation):
+    result = simulation.submit(
+        simulation.entries[0], "assistant", max_tokens=60
+    )
+    simulation.run(1)
+    server = next(s for s in simulation.servers.values() if s.streams)
+    simulation.kill_server(server.state.vm)
+    simulation.run(1)
+    request_id = result.request.request_id
+    request_dispatcher = simulation.roles[simulation.entries[0]].dispatcher
+    position = request_dispatcher._pending[request_id].position
     late = events.FrameArrived(
         f"{request_id}.1", request_id, position, 1, "late"
     )
-    world.deliver(world.entries[0], late)
-    world.run(20)
+    simulation.deliver(simulation.entries[0], late)
+    simulation.run(20)
 
 
-def play_server_dies(world):
-    for server in world.servers.values():
+def kill_plain_server(simulation):
+    for server in simulation.servers.values():
         server.service_s = 5.0
-    world.submit(world.entries[0], "dispatch", key="k")
-    world.run(1)
-    for vm, server in world.servers.items():
+    simulation.submit(simulation.entries[0], "dispatch", key="k")
+    simulation.run(1)
+    for vm, server in simulation.servers.items():
         if server.is_plain:
-            world.kill_server(vm)
-    world.run(5)
+            simulation.kill_server(vm)
+    simulation.run(5)
 
 
-def play_holders_restart(world):
+def restart_claim_holders(simulation):
     body = b"order"
-    world.submit(world.entries[0], "dispatch", key="k", body=body)
-    world.run(2)
-    for node in world.controls:
-        world.start(node)
-    world.run(4)
-    world.submit(world.entries[8], "dispatch", key="k", body=body, key_age_s=6)
-    world.run(3)
+    simulation.submit(simulation.entries[0], "dispatch", key="k", body=body)
+    simulation.run(2)
+    for node in simulation.controls:
+        simulation.start(node)
+    simulation.run(4)
+    simulation.submit(
+        simulation.entries[8], "dispatch", key="k", body=body, key_age_s=6
+    )
+    simulation.run(3)
 
 
-def play_one_key_everywhere(world):
-    world.isolate_zone("buda-hall")
-    for node in world.entries:
-        world.submit(node, "dispatch", key="k", body=b"order")
-    world.run(4)
+def submit_key_at_every_entry(simulation):
+    simulation.isolate_zone("buda-hall")
+    for node in simulation.entries:
+        simulation.submit(node, "dispatch", key="k", body=b"order")
+    simulation.run(4)
 
 
-def play_server_leaves(world):
+def let_server_leave(simulation):
     server = next(
         s
-        for s in world.servers.values()
+        for s in simulation.servers.values()
         if s.state.rank == 0 and s.state.zone == "buda-hall"
     )
     server.member.leave()
-    server.left_at = world.now
+    server.left_at = simulation.now
     for step in range(60):
-        node = world.entries[step % 3]
-        world.call_later(step / 5, lambda n=node: world.submit(n, "assistant"))
-    world.run(15)
+        node = simulation.entries[step % 3]
+        simulation.call_later(
+            step / 5, lambda n=node: simulation.submit(n, "assistant")
+        )
+    simulation.run(15)
 
 
-def play_versions_race(world):
-    node = world.entries[0]
-    role = world.roles[node]
+def send_older_version(simulation):
+    node = simulation.entries[0]
+    role = simulation.roles[node]
     configuration = role.configuration
 
     older = attrs.evolve(configuration, version=configuration.version - 1)
     update = config_messages.ConfigurationUpdate(
-        world.controls[1], True, False, "", older.version, older
+        simulation.controls[1], True, False, "", older.version, older
     )
-    world.send(world.controls[1], node, update)
-    world.run(2)
-
-
-PLAYS = {
-    "member dies": play_member_dies,
-    "grantors restart": play_grantors_restart,
-    "frames doubled": play_frames_doubled,
-    "streams move": play_streams_move,
-    "server dies": play_server_dies,
-    "holders restart": play_holders_restart,
-    "one key everywhere": play_one_key_everywhere,
-    "server leaves": play_server_leaves,
-    "versions race": play_versions_race,
+    simulation.send(simulation.controls[1], node, update)
+    simulation.run(2)
+
+
+SCENARIOS = {
+    "member dies": kill_member,
+    "grantors restart": restart_grantors,
+    "frame repeated": repeat_frame,
+    "late frame of an earlier attempt": deliver_late_frame,
+    "plain server dies": kill_plain_server,
+    "claim holders restart": restart_claim_holders,
+    "one key at every entry": submit_key_at_every_entry,
+    "server leaves": let_server_leave,
+    "older version received": send_older_version,
 }
 
 
-# Broken copies of safeguards.
+# Replacements for safeguards that leave out what the safeguard does.
 
 
-def break_take_frame(self, frame, now):
-    opened = self._find_pending(frame.attempt_id)
-    if opened is None:
+def handle_any_frame(self, frame, now):
+    pending = self._find_pending(frame.attempt_id)
+    if pending is None:
         return []
-    opened.current_attempt.last_frame_at = now
-    opened.position += frame.tokens
-    effects = [events.EmitText(opened.request.request_id, frame.text)]
+    pending.current_attempt.last_frame_at = now
+    pending.position += frame.tokens
+    effects = [events.EmitText(pending.request.request_id, frame.text)]
     if frame.finish_reason:
-        effects += self._finish_stream(opened, frame, now)
+        effects += self._finish_stream(pending, frame, now)
     return effects
 
 
-def break_find(self, attempt_id):
-    opened = self._pending.get(attempt_id.rpartition(".")[0])
-    return opened if opened and opened.current_attempt else None
+def find_any_attempt(self, attempt_id):
+    pending = self._pending.get(attempt_id.rpartition(".")[0])
+    return pending if pending and pending.current_attempt else None
 
 
-def break_fail_attempt(self, opened, verdict, reason, retry_after_s, now):
-    return WHOLE_FAIL(self, opened, Verdict.NOT_RUN, reason, retry_after_s, now)
+def fail_as_not_run(self, pending, verdict, reason, retry_after_s, now):
+    return ORIGINAL_FAIL_ATTEMPT(
+        self, pending, Verdict.NOT_RUN, reason, retry_after_s, now
+    )
 
 
-def break_receive_claim(self, reply, now):
+def accept_first_grant(self, reply, now):
     if reply.state == claim_messages.GRANTED:
         self.result = "granted"
         return []
-    return WHOLE_CLAIM(self, reply, now)
+    return ORIGINAL_RECEIVE(self, reply, now)
 
 
-def break_adopt(self, configuration):
+def adopt_any_version(self, configuration):
     self.configuration = configuration
     return True
 
 
-def break_holder(self, **options):
-    WHOLE_HOLDER(self, **options)
+def init_holder_without_wait(self, **options):
+    ORIGINAL_HOLDER_INIT(self, **options)
     self._min_made_at = 0.0
 
 
-def break_lease(self, **options):
-    WHOLE_LEASE(self, **options)
+def init_lease_without_wait(self, **options):
+    ORIGINAL_LEASE_INIT(self, **options)
     self._abstains_until = self._next_attempt_at = options["now"]
 
 
-def break_may_order(self, now):
-    # Believes in the lease for as long as orders could be under way.
+def may_order_after_lease(self, now):
+    # Treats the lease as held for another 10 s, longer than its orders can be
+    # in flight.
     return self._number > 0 and now < self._held_until + 10
 
 
-def break_is_whole(group, members):
+def is_ready_in_any_phase(group, members):
     return all(
         vm in members and members[vm].state.group == group.name
         for vm in group.vms
     )
 
 
-def break_list_free(self, domain, weights):
-    # Takes VMs that belong to other groups, too.
+def list_all_members(self, domain, weights):
+    # Includes VMs that belong to other groups.
     return [
         vm
         for vm, member in sorted(self._members.items())
@@ -213,94 +224,98 @@
     ]
 
 
-WHOLE_FAIL = dispatcher.Dispatcher._fail_attempt
-WHOLE_CLAIM = claimant.Claimant.receive
-WHOLE_HOLDER = claim_holder.ClaimHolder.__init__
-WHOLE_LEASE = zone_lease.ZoneLease.__init__
+ORIGINAL_FAIL_ATTEMPT = dispatcher.Dispatcher._fail_attempt
+ORIGINAL_RECEIVE = claimant.Claimant.receive
+ORIGINAL_HOLDER_INIT = claim_holder.ClaimHolder.__init__
+ORIGINAL_LEASE_INIT = zone_lease.ZoneLease.__init__
 
-BREAKS = {
+BROKEN_SAFEGUARDS = {
     "only free VMs join a group": (
         planner.Planner,
         "_list_free",
-        break_list_free,
+        list_all_members,
     ),
-    "only whole groups serve": (
+    "only complete groups serve": (
         groups,
         "is_ready",
         lambda group, members: any(vm in members for vm in group.vms),
     ),
-    "a lost domain is noticed": (
+    "a lost domain is detected": (
         announcement_receiver,
         "ANNOUNCEMENT_TIMEOUT_S",
         1e9,
     ),
-    "restarted grantors stay silent": (
-        (zone_lease.ZoneLease, "__init__", break_lease),
+    "restarted grantors abstain": (
+        (zone_lease.ZoneLease, "__init__", init_lease_without_wait),
         (zone_lease, "LONGEST_ORDER_S", 0.0),
     ),
-    "orders wait out the old lease": (
+    "orders wait for the end of the old lease": (
         zone_lease.ZoneLease,
         "may_issue_orders",
-        break_may_order,
+        may_order_after_lease,
     ),
     "frames must fit the position": (
         dispatcher.Dispatcher,
         "_handle_frame",
-        break_take_frame,
+        handle_any_frame,
     ),
-    "former attempts are dropped": (
+    "frames of earlier attempts are dropped": (
         dispatcher.Dispatcher,
         "_find_pending",
-        break_find,
+        find_any_attempt,
     ),
-    "only signed refusals are not run": (
+    "only signed refusals count as not run": (
         dispatcher.Dispatcher,
         "_fail_attempt",
-        break_fail_attempt,
+        fail_as_not_run,
     ),
-    "forgotten keys are refused": (
+    "keys from before a restart are refused": (
         claim_holder.ClaimHolder,
         "__init__",
-        break_holder,
+        init_holder_without_wait,
     ),
     "a majority must grant": (
         claimant.Claimant,
         "receive",
-        break_receive_claim,
+        accept_first_grant,
     ),
-    "leaving servers are not whole": (
-        (groups, "is_ready", break_is_whole),
+    "groups with leaving servers are not ready": (
+        (groups, "is_ready", is_ready_in_any_phase),
         (planner.Planner, "_must_leave", lambda self, vm: False),
         (table.ReplicaTable, "withdraw", lambda self, withdrawal: None),
     ),
-    "followers never go back": (follower.Follower, "adopt", break_adopt),
+    "followers reject older versions": (
+        follower.Follower,
+        "adopt",
+        adopt_any_version,
+    ),
 }
 
 
-@given('the play "{play}" passes with every safeguard whole')
-def _(context, play):
-    context.play = PLAYS[play]
-    context.play(deployments.build())
+@given('the fault scenario "{name}" passes with every safeguard intact')
+def _(context, name):
+    context.run_scenario = SCENARIOS[name]
+    context.run_scenario(deployments.build())
 
 
-@when('the safeguard "{safeguard}" is broken')
+@when('the safeguard "{safeguard}" is replaced by a broken copy')
 def _(context, safeguard):
-    broken = BREAKS[safeguard]
-    if not isinstance(broken[0], tuple):
-        broken = (broken,)
-    context.patches = [mock.patch.object(*one) for one in broken]
+    replacements = BROKEN_SAFEGUARDS[safeguard]
+    if not isinstance(replacements[0], tuple):
+        replacements = (replacements,)
+    context.patches = [mock.patch.object(*one) for one in replacements]
 
 
-@then('the play fails in "{checker}"')
+@then('the fault scenario fails in "{checker}"')
 def _(context, checker):
-    world = deployments.build()
+    simulation = deployments.build()
     found = "nothing"
     with contextlib.ExitStack() as stack:
         for patch in context.patches:
             stack.enter_context(patch)
         try:
-            context.play(world)
+            context.run_scenario(simulation)
         except AssertionError as error:
             frames = traceback.extract_tb(error.__traceback__)
             found = frames[-1].name
-    assert found == checker, f"it failed in {found}"
+    assert found == checker, f"the scenario failed in {found}"
--- a/tests/steps/session_steps.py
+++ b/tests/steps/session_steps.py
@@ -1,4 +1,4 @@
-"""Steps that record whole sessions and compare them with golden files."""
+"""Steps that record sessions and compare them with golden files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 GOLDEN = pathlib.Path(__file__).resolve().parent.parent / "golden"
 
 
-@when('the session "{name}" is played')
+@when('the session "{name}" is recorded')
 def _(context, name):
     context.record = sessions.SESSIONS[name](context)
 
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""Faults as data, and plays that cause them while callers ask."""
+"""Faults as data, and their injection into a deployment under load."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 FaultKind = Literal[
     "kill server",
     "pause server",
-    "domain dark",
-    "cut zone",
-    "cut pair one way",
+    "kill domain",
+    "isolate zone",
+    "one-way partition",
     "kill entry",
     "kill control",
     "pause control",
-    "lose disk",
+    "wipe disk",
     "lose messages",
     "server leaves",
     "zone restarts",
     "clock jumps",
-    "leader cut off",
-    "race of operators",
+    "isolate leader",
+    "conflicting changes",
     "straggler",
 ]
 FAULT_KINDS: tuple[FaultKind, ...] = FaultKind.__args__
@@ -39,9 +39,9 @@
     """One fault.
 
     Attributes:
-        kind: What happens.
-        target_index: Chooses where, modulo what there is.
-        duration_s: How long, where that has a meaning.
+        kind: Kind of the fault.
+        target_index: Index of the node, server or zone, modulo their number.
+        duration_s: How long the fault lasts, where it has an end.
         next_fault_delay_s: Time until the next fault.
     """
 
@@ -52,180 +52,209 @@
 
 
 class FaultScenario:
-    """A deployment under traffic."""
+    """A deployment under load, into which faults are injected."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.world: Simulation = deployments.build(
+        self.simulation: Simulation = deployments.build(
             engines=8,
             domain=4,
             seed=seed,
             checks_fence=self.rng.random() < 0.5,
         )
-        self._calls = 0
-        self.stops_at = self.world.now + 1e9
-        self._ask()
+        self._call_count = 0
+        self.load_ends_at = self.simulation.now + 1e9
+        self._submit_requests()
 
-    def _ask(self) -> None:
-        world = self.world
-        if world.now > self.stops_at:
+    def _submit_requests(self) -> None:
+        simulation = self.simulation
+        if simulation.now > self.load_ends_at:
             return
         for _ in range(2):
-            world.submit(
-                self.rng.choice(world.entries),
+            simulation.submit(
+                self.rng.choice(simulation.entries),
                 "assistant",
                 max_tokens=self.rng.randint(1, 60),
             )
-        self._calls += 1
-        key, at = f"key-{self._calls}", world.now
-        first = self.rng.sample(world.entries, self.rng.choice([1, 2, 9]))
+        self._call_count += 1
+        key, at = f"key-{self._call_count}", simulation.now
+        first = self.rng.sample(simulation.entries, self.rng.choice([1, 2, 9]))
         for node in first:
-            world.submit(node, "dispatch", key=key, body=key.encode())
-        world.call_later(
+            simulation.submit(node, "dispatch", key=key, body=key.encode())
+        simulation.call_later(
             self.rng.uniform(0, 3),
-            lambda: world.submit(
-                self.rng.choice(world.entries),
+            lambda: simulation.submit(
+                self.rng.choice(simulation.entries),
                 "dispatch",
                 key=key,
                 body=key.encode(),
-                key_age_s=world.now - at,
+                key_age_s=simulation.now - at,
             ),
         )
-        world.call_later(1.0, self._ask)
+        simulation.call_later(1.0, self._submit_requests)
 
     def inject(self, fault: Fault) -> None:
-        """Causes one fault and its end."""
-        world = self.world
-        zone = world.zones[fault.target_index % len(world.zones)]
-        entry = world.entries[fault.target_index % len(world.entries)]
-        control = world.controls[fault.target_index % len(world.controls)]
-        engines = [v for v, s in world.servers.items() if not s.is_plain]
+        """Injects one fault and schedules its end."""
+        simulation = self.simulation
+        zone = simulation.zones[fault.target_index % len(simulation.zones)]
+        entry = simulation.entries[fault.target_index % len(simulation.entries)]
+        control = simulation.controls[
+            fault.target_index % len(simulation.controls)
+        ]
+        engines = [v for v, s in simulation.servers.items() if not s.is_plain]
         vm = engines[fault.target_index % len(engines)]
-        lasts_s = fault.duration_s
+        duration_s = fault.duration_s
         match fault.kind:
             case "kill server":
-                self._kill_servers([vm], lasts_s)
-            case "domain dark":
-                domain = world.servers[vm].state.domain
-                dark = [
+                self._kill_servers([vm], duration_s)
+            case "kill domain":
+                domain = simulation.servers[vm].state.domain
+                members = [
                     v
                     for v in engines
-                    if world.servers[v].state.domain == domain
+                    if simulation.servers[v].state.domain == domain
                 ]
-                self._kill_servers(dark, lasts_s)
+                self._kill_servers(members, duration_s)
             case "pause server":
-                world.pause_server(vm, lasts_s)
+                simulation.pause_server(vm, duration_s)
             case "straggler":
-                world.servers[vm].batch.slowness = 8.0
-                world.call_later(lasts_s, lambda: self._speed_up(vm))
-            case "cut zone":
-                world.isolate_zone(zone)
-                world.call_later(lasts_s, world.heal)
-            case "cut pair one way":
-                other = world.zones[(fault.target_index + 1) % len(world.zones)]
-                world.partition(zone, other, one_way=True)
-                world.call_later(lasts_s, world.heal)
-            case "leader cut off":
-                leader = operator_actions.find_leader(world)
-                for node in (*world.controls, *world.entries):
+                simulation.servers[vm].batch.slowness = 8.0
+                simulation.call_later(
+                    duration_s, lambda: self._end_slowness(vm)
+                )
+            case "isolate zone":
+                simulation.isolate_zone(zone)
+                simulation.call_later(duration_s, simulation.heal)
+            case "one-way partition":
+                other = simulation.zones[
+                    (fault.target_index + 1) % len(simulation.zones)
+                ]
+                simulation.partition(zone, other, one_way=True)
+                simulation.call_later(duration_s, simulation.heal)
+            case "isolate leader":
+                leader = operator_actions.find_leader(simulation)
+                for node in (*simulation.controls, *simulation.entries):
                     if leader and node != leader:
-                        world.partition(leader, node)
-                world.call_later(lasts_s, world.heal)
+                        simulation.partition(leader, node)
+                simulation.call_later(duration_s, simulation.heal)
             case "kill entry":
-                world.kill(entry)
-                world.call_later(lasts_s, lambda: world.start(entry))
+                simulation.kill(entry)
+                simulation.call_later(
+                    duration_s, lambda: simulation.start(entry)
+                )
             case "kill control":
-                world.kill(control)
-                world.call_later(lasts_s, lambda: world.start(control))
+                simulation.kill(control)
+                simulation.call_later(
+                    duration_s, lambda: simulation.start(control)
+                )
             case "pause control":
-                world.pause(control, lasts_s)
-            case "lose disk":
-                voter = world.voters[fault.target_index % len(world.voters)]
-                world.wipe_disk(voter)
-                world.call_later(lasts_s, lambda: world.start(voter))
+                simulation.pause(control, duration_s)
+            case "wipe disk":
+                voter = simulation.voters[
+                    fault.target_index % len(simulation.voters)
+                ]
+                simulation.wipe_disk(voter)
+                simulation.call_later(
+                    duration_s, lambda: simulation.start(voter)
+                )
             case "lose messages":
-                world.loss = 0.1
-                world.call_later(lasts_s, lambda: setattr(world, "loss", 0.0))
+                simulation.loss = 0.1
+                simulation.call_later(
+                    duration_s, lambda: setattr(simulation, "loss", 0.0)
+                )
             case "server leaves":
-                self._leave(vm, lasts_s)
+                self._begin_leave(vm, duration_s)
             case "zone restarts":
-                for node in world.controls:
+                for node in simulation.controls:
                     if node.startswith(zone):
-                        world.start(node)
+                        simulation.start(node)
             case "clock jumps":
-                world.skew[control] = (
+                simulation.skew[control] = (
                     300.0 if fault.target_index % 2 else -300.0
                 )
-                world.call_later(lasts_s, lambda: world.skew.pop(control, None))
-            case "race of operators":
-                self._race(fault.target_index)
+                simulation.call_later(
+                    duration_s, lambda: simulation.skew.pop(control, None)
+                )
+            case "conflicting changes":
+                self._submit_conflicting_changes(fault.target_index)
 
-    def _kill_servers(self, vms: list[str], lasts_s: float) -> None:
+    def _kill_servers(self, vms: list[str], duration_s: float) -> None:
         for vm in vms:
-            self.world.kill_server(vm)
-            self.world.call_later(lasts_s, lambda v=vm: self._revive(v))
+            self.simulation.kill_server(vm)
+            self.simulation.call_later(
+                duration_s, lambda v=vm: self._restart_if_down(v)
+            )
 
-    def _revive(self, vm: str) -> None:
-        if not self.world.servers[vm].alive:
-            self.world.restart_server(vm)
+    def _restart_if_down(self, vm: str) -> None:
+        if not self.simulation.servers[vm].alive:
+            self.simulation.restart_server(vm)
 
-    def _speed_up(self, vm: str) -> None:
-        self.world.servers[vm].batch.slowness = 1.0
+    def _end_slowness(self, vm: str) -> None:
+        self.simulation.servers[vm].batch.slowness = 1.0
 
-    def _leave(self, vm: str, lasts_s: float) -> None:
-        server = self.world.servers[vm]
+    def _begin_leave(self, vm: str, duration_s: float) -> None:
+        server = self.simulation.servers[vm]
         if not server.alive or server.left_at is not None:
             return
         server.member.leave()
-        server.left_at = self.world.now
+        server.left_at = self.simulation.now
 
-        def come_back() -> None:
+        def restart() -> None:
             server.left_at = None
-            self.world.kill_server(vm)
-            self.world.restart_server(vm)
+            self.simulation.kill_server(vm)
+            self.simulation.restart_server(vm)
 
-        self.world.call_later(max(lasts_s, 20.0), come_back)
+        self.simulation.call_later(max(duration_s, 20.0), restart)
 
-    def _race(self, place: int) -> None:
-        world = self.world
+    def _submit_conflicting_changes(self, target_index: int) -> None:
+        simulation = self.simulation
         expected = max(
-            world.roles[n].version for n in world.controls if n in world.roles
+            simulation.roles[n].version
+            for n in simulation.controls
+            if n in simulation.roles
         )
         for number in (0, 4):
-            node = world.entries[(place + number) % len(world.entries)]
-            drain = changes.DrainVm(f"none-{place}", number == 0)
+            node = simulation.entries[
+                (target_index + number) % len(simulation.entries)
+            ]
+            drain = changes.DrainVm(f"none-{target_index}", number == 0)
             operator_actions.submit(
-                world,
+                simulation,
                 drain,
-                change_id=f"race-{world.now}-{number}",
+                change_id=f"race-{simulation.now}-{number}",
                 node=node,
                 expected=expected,
             )
 
 
-def run_play(seed: int, faults: list[Fault]) -> FaultScenario:
-    """Plays faults, lets all come back, and checks that it did."""
-    play = FaultScenario(seed)
-    world = play.world
+def run_faults(seed: int, faults: list[Fault]) -> FaultScenario:
+    """Injects faults one after another and checks that the deployment recovers.
+
+    Raises:
+        AssertionError: An invariant was violated, an entry may use fewer than
+            two replicas in a zone, or a request got no response.
+    """
+    scenario = FaultScenario(seed)
+    simulation = scenario.simulation
     for fault in faults:
-        play.inject(fault)
-        world.run(fault.next_fault_delay_s)
-    world.run(60)
-    play.stops_at = world.now
-    world.run(45)
-    for node in world.entries:
+        scenario.inject(fault)
+        simulation.run(fault.next_fault_delay_s)
+    simulation.run(60)
+    scenario.load_ends_at = simulation.now
+    simulation.run(45)
+    for node in simulation.entries:
         zones = {
-            z: operator_actions.count_replicas(world, node, z)
-            for z in world.zones
+            z: operator_actions.count_replicas(simulation, node, z)
+            for z in simulation.zones
         }
         assert min(zones.values()) >= 2, f"{node} may use {zones}"
-    for answer in world.answers.values():
-        assert answer.final_effect is not None, f"no answer: {answer.request}"
-    return play
+    for result in simulation.results.values():
+        assert result.final_effect is not None, f"no response: {result.request}"
+    return scenario
 
 
 def draw_faults(seed: int, count: int) -> list[Fault]:
-    """Returns the faults of a seed."""
+    """Draws faults from a seed."""
     rng = random.Random(f"faults {seed}")
     return [
         Fault(
--- a/tests/support/invariants.py
+++ b/tests/support/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold, each written once, checked after every step."""
+"""Invariants of a deployment, checked after every step of a simulation."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 if TYPE_CHECKING:
     from support.simulation import Simulation
 
-# From a VM's death until no entry sends new work to its group: the entry that
-# hears it notices, the holder plans, the table travels; if that entry or the
-# holder is gone as well, its term and the move of announcements come on top.
+# Longest time from the death of a VM until no entry sends new work to its
+# group. The entry that receives its announcements detects that they are
+# missing, the lease holder plans, and the new table reaches the entries. If
+# that entry or the lease holder is down as well, the term of the lease and the
+# time in which the announcements move to another entry are added.
 DETECTION_S = 16.0
 RETIREMENT_S = 4.0
 SPREAD_S = 8.0
 
 
-def check_whole_groups(world: Simulation) -> None:
-    """No replica is sent work unless every VM in its group is present.
+def check_complete_groups(simulation: Simulation) -> None:
+    """Checks that work goes only to groups of which every VM is present.
 
-    A VM that died, left or paused counts as present for the time that its
-    absence takes to be noticed.
+    A VM that died, left or paused counts as present for as long as the
+    detection of its absence may take.
     """
-    for attempt in world.attempts:
+    for attempt in simulation.attempts:
         replica = attempt.replica
-        server = world.servers[replica.vm]
+        server = simulation.servers[replica.vm]
         if server.is_plain:
             continue
         ranks = {
             rank
-            for at, group, generation, rank in world.departed
+            for at, group, generation, rank in simulation.departures
             if (group, generation) == (replica.group, replica.generation)
-            and world.now - at <= DETECTION_S
+            and simulation.now - at <= DETECTION_S
         }
-        for other in world.servers.values():
+        for other in simulation.servers.values():
             state = other.state
             if not other.alive or (state.group, state.generation) != (
                 replica.group,
@@ -51,97 +53,107 @@
                 announcements.PHASE_LEAVING,
             ):
                 continue
-            is_paused = world.now < other.paused_until
-            paused_s = world.now - other.paused_since if is_paused else 0.0
+            is_paused = simulation.now < other.paused_until
+            paused_s = simulation.now - other.paused_since if is_paused else 0.0
             if paused_s <= DETECTION_S:
                 ranks.add(state.rank)
-        assert len(ranks) == world.group_size, (
+        assert len(ranks) == simulation.group_size, (
             f"{replica.group} is sent work with {ranks}"
         )
 
 
-def check_one_group(world: Simulation) -> None:
-    """No VM belongs to two replica groups at once."""
-    for node in world.touched:
-        role = world.roles.get(node)
-        if node not in world.controls or role is None:
+def check_one_group(simulation: Simulation) -> None:
+    """Checks that no VM belongs to two replica groups at once."""
+    for node in simulation.active_nodes:
+        role = simulation.roles.get(node)
+        if node not in simulation.controls or role is None:
             continue
-        if role.may_issue_orders(world.now):
+        if role.may_issue_orders(simulation.now):
             listed = [vm for g in role.groups.values() for vm in g.vms if vm]
             assert len(listed) == len(set(listed)), f"{node} lists a VM twice"
 
 
-def check_one_holder(world: Simulation) -> None:
-    """One control process at most gives orders in a zone."""
-    for zone in {nodes.get_zone(n) for n in world.touched}:
+def check_one_lease_holder(simulation: Simulation) -> None:
+    """Checks that at most one control process may issue orders in a zone."""
+    for zone in {nodes.get_zone(n) for n in simulation.active_nodes}:
         holders = [
             n
-            for n in world.controls
+            for n in simulation.controls
             if nodes.get_zone(n) == zone
-            and n in world.roles
-            and world.paused.get(n, 0) <= world.now
-            and world.roles[n].may_issue_orders(world.now)
+            and n in simulation.roles
+            and simulation.paused_until.get(n, 0) <= simulation.now
+            and simulation.roles[n].may_issue_orders(simulation.now)
         ]
         assert len(holders) <= 1, f"{holders} hold the lease of {zone}"
 
 
-def check_answers(world: Simulation) -> None:
-    """A caller gets the whole answer to its own request, or a problem."""
-    for answer in world.ended:
-        if isinstance(answer.final_effect, events.FinishStream):
-            digest = batch.digest_body(answer.request.body)
-            right = batch.make_text(digest, answer.request.max_tokens)
-            assert answer.text == right, f"{answer.request.request_id} is wrong"
-        if isinstance(answer.final_effect, events.SendResponse):
-            assert answer.final_effect.body == b"run for " + answer.request.body
-
-
-def check_not_run(world: Simulation) -> None:
-    """What was said not to have run has no run in any server's record."""
-    for _, run in world.new_runs:
-        answer = world.answers[run.request_id]
-        assert answer.verdict != Verdict.NOT_RUN, f"{run} was refused"
-    for answer in world.ended:
-        if answer.verdict == Verdict.NOT_RUN:
-            request_id = answer.request.request_id
-            assert request_id not in world.run_ids, f"{request_id} ran"
-
-
-def check_at_most_once(world: Simulation) -> None:
-    """A key runs at most once, by the servers' own records."""
-    for _, run in world.new_runs:
-        count = world.key_runs[run.key]
+def check_responses(simulation: Simulation) -> None:
+    """Checks that callers get the complete response to their own request.
+
+    A request that failed gets a problem document instead.
+    """
+    for result in simulation.completed:
+        if isinstance(result.final_effect, events.FinishStream):
+            digest = batch.digest_body(result.request.body)
+            expected = batch.make_text(digest, result.request.max_tokens)
+            assert result.text == expected, (
+                f"{result.request.request_id} is wrong"
+            )
+        if isinstance(result.final_effect, events.SendResponse):
+            assert result.final_effect.body == b"run for " + result.request.body
+
+
+def check_not_run(simulation: Simulation) -> None:
+    """Checks that no server ran a request that was reported as not run."""
+    for _, run in simulation.new_runs:
+        result = simulation.results[run.request_id]
+        assert result.verdict != Verdict.NOT_RUN, f"{run} was refused"
+    for result in simulation.completed:
+        if result.verdict == Verdict.NOT_RUN:
+            request_id = result.request.request_id
+            assert request_id not in simulation.run_ids, f"{request_id} ran"
+
+
+def check_at_most_once(simulation: Simulation) -> None:
+    """Checks in the servers' own records that a key ran at most once."""
+    for _, run in simulation.new_runs:
+        count = simulation.key_runs[run.key]
         assert not run.key or count == 1, f"key {run.key} ran {count} times"
 
 
-def check_retirement(world: Simulation) -> None:
-    """A leaving server gets no new work after a few seconds."""
-    for attempt in world.attempts:
-        server = world.servers[attempt.replica.vm]
+def check_retirement(simulation: Simulation) -> None:
+    """Checks that a leaving server gets no new work after a few seconds."""
+    for attempt in simulation.attempts:
+        server = simulation.servers[attempt.replica.vm]
         if server.left_at is not None:
-            late_s = world.now - server.left_at
-            assert late_s <= RETIREMENT_S, (
-                f"{server.state.vm} got work {late_s:.1f} s after leaving"
+            delay_s = simulation.now - server.left_at
+            assert delay_s <= RETIREMENT_S, (
+                f"{server.state.vm} got work {delay_s:.1f} s after leaving"
             )
 
 
-def check_versions(world: Simulation) -> None:
-    """A version in force never falls, in any process that goes on."""
-    for node in world.touched:
-        role = world.roles.get(node)
+def check_versions(simulation: Simulation) -> None:
+    """Checks that no process goes back to an older configuration version.
+
+    A process that restarted may have an older version than before.
+    """
+    for node in simulation.active_nodes:
+        role = simulation.roles.get(node)
         if role is None:
             continue
-        is_control = node in world.controls
+        is_control = node in simulation.controls
         version = role.version if is_control else role.configuration.version
-        assert version >= world.applied.get(node, 0), f"{node} went back"
-        world.applied[node] = version
+        assert version >= simulation.last_versions.get(node, 0), (
+            f"{node} went back to version {version}"
+        )
+        simulation.last_versions[node] = version
 
 
 ALL = (
-    check_whole_groups,
+    check_complete_groups,
     check_one_group,
-    check_one_holder,
-    check_answers,
+    check_one_lease_holder,
+    check_responses,
     check_not_run,
     check_at_most_once,
     check_retirement,
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -382,7 +382,9 @@
     plain = cluster.find_server("p0")
     cluster.record("server", f"leaves: {await plain.deregister()}")
     await cluster.wait_for(
-        lambda: len(cluster.gateway.role._directory.list_replicas("desk", "")) == 1
+        lambda: (
+            len(cluster.gateway.role._directory.list_replicas("desk", "")) == 1
+        )
     )
     plain.stop()
     await cluster.send_request("/alerts/9", b"still")
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -37,7 +37,7 @@
 
 
 def start(folder: pathlib.Path) -> deployment_module.Deployment:
-    """Starts three zones with their backend servers; nothing is configured."""
+    """Starts three zones with their backend servers, unconfigured."""
     deployment = deployment_module.Deployment(folder)
     try:
         deployment.start_system()
@@ -53,7 +53,7 @@
             lambda: (
                 len(deployment.get_status()["controls"]) == len(deployment.vms)
             ),
-            "all control processes answer",
+            "all control processes report their status",
         )
     except BaseException:
         deployment.stop()
@@ -62,7 +62,7 @@
 
 
 def configure(deployment: deployment_module.Deployment) -> None:
-    """Puts a preset in force and waits until all replicas serve."""
+    """Activates a preset and waits until all replicas serve."""
     deployment.operate("cluster", "init", "test")
     deployment.operate(*SERVICE)
     deployment.operate(
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions, recorded from the caller's, operator's and server's side."""
+"""Sessions as recorded by callers, operators and backend servers."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Transcript:
-    """Lines of a session, with what differs from run to run replaced."""
+    """Lines of a session; values that differ between runs are replaced."""
 
     def __init__(self) -> None:
         self._lines: list[str] = []
         self._names: dict[str, str] = {}
 
     def add(self, side: str, text: str) -> None:
-        """Adds what one side sent or saw."""
+        """Adds what a caller, an operator or a server sent or received."""
         for line in text.rstrip().splitlines():
             self._lines.append(f"{side:9} {self._normalise(line)}".rstrip())
 
@@ -53,8 +53,8 @@
         return replace
 
 
-def run_ordinary_day(context) -> str:
-    """Plays a session with real processes."""
+def record_normal_operation(context) -> str:
+    """Runs operator commands and requests against real processes."""
     deployment, record = context.deployment, Transcript()
     first, last = deployment.vms[0], deployment.vms[-1]
 
@@ -64,7 +64,9 @@
         record.add("operator", output + error)
         record.add("operator", f"exit code {code}")
 
-    def show(response: deployment_module.Response, what: str) -> None:
+    def record_response(
+        response: deployment_module.Response, what: str
+    ) -> None:
         record.add("caller", what)
         record.add("caller", f"status {response.status}")
         for name in _KEPT_HEADERS:
@@ -79,18 +81,20 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    show(processes.send_chat(first, stream, Priority="u=0"), "stream, urgent")
-    show(processes.send_chat(last), "whole answer")
+    record_response(
+        processes.send_chat(first, stream, Priority="u=0"), "stream, urgent"
+    )
+    record_response(processes.send_chat(last), "whole answer")
     key = demo.make_key()
     for vm in (first, last):
-        order = deployment_module.call(
+        response = deployment_module.call(
             "POST",
             f"{vm.url}/services/dispatch/crews/7",
             token=processes.TOKENS["caller"],
             body=b"span 14",
             headers={"Idempotency-Key": key, "Content-Type": "text/plain"},
         )
-        show(order, f"work order through {vm.zone}")
+        record_response(response, f"work order through {vm.zone}")
     runs = deployment_module.call(
         "GET", f"{deployment.plain_url}/debug/runs"
     ).load()
@@ -103,138 +107,151 @@
     operate("service", "delete", "assistant")
     operate("preset", "switch", "maintenance")
     deployment_module.wait_until(
-        lambda: deployment.count_serving("assistant") == 0, "all drained"
+        lambda: deployment.count_serving("assistant") == 0,
+        "all replicas drained",
     )
     deployment_module.wait_until(
-        lambda: processes.send_chat(last).status == 503, "entries know"
+        lambda: processes.send_chat(last).status == 503,
+        "entries refuse the service",
     )
-    show(processes.send_chat(last), "whole answer, in maintenance")
+    record_response(processes.send_chat(last), "whole answer, in maintenance")
     operate("preset", "switch", "ordinary")
     processes.wait_until_serving(deployment)
-    show(processes.send_chat(last), "whole answer, after maintenance")
+    record_response(
+        processes.send_chat(last), "whole answer, after maintenance"
+    )
     return record.render()
 
 
-def _watch(world, record: Transcript) -> None:
-    """Records what the servers are ordered and what they run."""
-    carry_out, open_attempt = world._order, world._open
+def _record_servers(simulation, record: Transcript) -> None:
+    """Records the orders to the servers and the requests that they run."""
+    deliver_order, start_attempt = (
+        simulation._deliver_order,
+        simulation._start_attempt,
+    )
 
-    def order(node, given):
-        before = len(world.log)
-        carry_out(node, given)
-        for line in world.log[before:]:
+    def record_order(node, order):
+        before = len(simulation.log)
+        deliver_order(node, order)
+        for line in simulation.log[before:]:
             _, _, kind, vm, group, *refusal = line.split(" ")
             note = f" refused: {refusal[0]}" if refusal and refusal[0] else ""
             record.add("server", f"{vm}: {kind} {group}{note}")
 
-    def attempt(node, effect):
+    def record_attempt(node, effect):
         kind = "attach" if effect.attach else "run"
         record.add(
             "server",
             f"{effect.replica.vm}: {kind} {effect.request.request_id} from"
             f" token {effect.position}",
         )
-        open_attempt(node, effect)
+        start_attempt(node, effect)
 
-    world._order, world._open = order, attempt
+    simulation._deliver_order, simulation._start_attempt = (
+        record_order,
+        record_attempt,
+    )
 
 
-def _show_answer(record: Transcript, answer, what: str) -> None:
-    if isinstance(answer.final_effect, events.Refuse):
-        problem = answer.final_effect.problem
+def _record_result(record: Transcript, result, what: str) -> None:
+    if isinstance(result.final_effect, events.Refuse):
+        problem = result.final_effect.problem
         text = (
             f"{problem.status} {problem.code}, {problem.verdict.value}, retry"
             f" after {problem.retry_after_s}"
         )
     else:
         text = (
-            f"{type(answer.final_effect).__name__}"
-            f" {len(answer.text.split())} tokens"
+            f"{type(result.final_effect).__name__}"
+            f" {len(result.text.split())} tokens"
         )
     record.add("caller", f"{what}: {text}")
 
 
-def run_lost_member(_) -> str:
-    """Plays a session in given time."""
-    world, record = deployments.build(seed=11), Transcript()
-    _watch(world, record)
-    answer = world.submit(world.entries[0], "assistant", max_tokens=80)
-    world.run(1.0)
-    server = next(s for s in world.servers.values() if s.streams)
+def record_lost_member(_) -> str:
+    """Simulates a session in which members of replicas pause and die."""
+    simulation, record = deployments.build(seed=11), Transcript()
+    _record_servers(simulation, record)
+    result = simulation.submit(
+        simulation.entries[0], "assistant", max_tokens=80
+    )
+    simulation.run(1.0)
+    server = next(s for s in simulation.servers.values() if s.streams)
     vm = next(
         v
-        for v, s in world.servers.items()
+        for v, s in simulation.servers.items()
         if s.state.group == server.state.group and s.state.rank == 1
     )
     record.add("server", f"{vm}: pauses")
-    world.pause_server(vm, 30)
-    world.kill_server(server.state.vm)
+    simulation.pause_server(vm, 30)
+    simulation.kill_server(server.state.vm)
     record.add("server", f"{server.state.vm}: dies")
-    world.run(20)
-    _show_answer(record, answer, "stream")
+    simulation.run(20)
+    _record_result(record, result, "stream")
     zone = server.state.zone
+    count = operator_actions.count_replicas(
+        simulation, simulation.entries[0], zone
+    )
+    record.add("operator", f"replicas of {zone}: {count}")
+    simulation.run(30)
     record.add(
-        "operator",
-        f"replicas of {zone}:"
-        f" {operator_actions.count_replicas(world, world.entries[0], zone)}",
+        "server", f"{vm}: group {simulation.servers[vm].state.group or '-'}"
     )
-    world.run(30)
-    record.add("server", f"{vm}: group {world.servers[vm].state.group or '-'}")
     return record.render()
 
 
-def run_cut_zone(_) -> str:
-    """Plays a session in given time."""
-    world, record = deployments.build(seed=12), Transcript()
-    _watch(world, record)
-    zone = world.zones[0]
-    inside = next(n for n in world.entries if nodes.get_zone(n) == zone)
-    outside = world.entries[-1]
+def record_isolated_zone(_) -> str:
+    """Simulates a session in which a zone is partitioned from the others."""
+    simulation, record = deployments.build(seed=12), Transcript()
+    _record_servers(simulation, record)
+    zone = simulation.zones[0]
+    inside = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
+    outside = simulation.entries[-1]
     record.add("operator", f"{zone} is cut off")
-    world.isolate_zone(zone)
-    world.run(6)
-    chat = world.submit(inside, "assistant", max_tokens=20)
+    simulation.isolate_zone(zone)
+    simulation.run(6)
+    chat = simulation.submit(inside, "assistant", max_tokens=20)
     orders = [
-        world.submit(node, "dispatch", key="order", body=b"span")
+        simulation.submit(node, "dispatch", key="order", body=b"span")
         for node in (inside, outside)
     ]
     for name, node in (("inside", inside), ("outside", outside)):
         drain = changes.DrainVm(f"vm-{name}", True)
         operator_actions.submit(
-            world, drain, change_id=f"change-{name}", node=node
+            simulation, drain, change_id=f"change-{name}", node=node
         )
-    world.run(8)
-    _show_answer(record, chat, "stream inside")
-    _show_answer(record, orders[0], "work order inside")
-    _show_answer(record, orders[1], "work order outside")
+    simulation.run(8)
+    _record_result(record, chat, "stream inside")
+    _record_result(record, orders[0], "work order inside")
+    _record_result(record, orders[1], "work order outside")
     for name in ("inside", "outside"):
-        answer = world.outcomes[f"change-{name}"]
+        effect = simulation.outcomes[f"change-{name}"]
         text = json.dumps(
             {
-                "accepted": bool(answer.outcome and answer.outcome.accepted),
-                "may_apply": answer.may_apply,
+                "accepted": bool(effect.outcome and effect.outcome.accepted),
+                "may_apply": effect.may_apply,
             }
         )
         record.add("operator", f"change {name}: {text}")
     record.add("operator", f"{zone} is joined again")
-    world.heal()
-    world.run(8)
-    again = world.submit(
+    simulation.heal()
+    simulation.run(8)
+    resubmitted = simulation.submit(
         inside, "dispatch", key="order", body=b"span", key_age_s=16
     )
-    world.run(2)
-    _show_answer(record, again, "work order inside, again")
+    simulation.run(2)
+    _record_result(record, resubmitted, "work order inside, again")
     versions = {
         role.configuration.version
-        for n, role in world.roles.items()
-        if n in world.entries
+        for n, role in simulation.roles.items()
+        if n in simulation.entries
     }
     record.add("operator", f"versions followed by entries: {len(versions)}")
     return record.render()
 
 
 SESSIONS = {
-    "ordinary day": run_ordinary_day,
-    "lost member": run_lost_member,
-    "cut zone": run_cut_zone,
+    "normal operation": record_normal_operation,
+    "lost member": record_lost_member,
+    "isolated zone": record_isolated_zone,
 }
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -1,8 +1,8 @@
-"""Many nodes in one process, with given time and a fake network.
+"""Runs many nodes in one process, with simulated time and network.
 
-The network delays, loses, reorders and cuts, also in one direction only.
-Disks keep what was persisted. Nothing here decides anything: the reducers of
-the product do.
+The network can delay, lose and reorder messages and can be partitioned, also
+in one direction only. Disks keep what was persisted. The simulation makes no
+decisions of its own: they are all made by the reducers of the product.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-START_WALL = 1_800_000_000.0
+START_WALL_TIME_S = 1_800_000_000.0
 ZONES = ("buda-hall", "pest-hall", "csepel-hall")
 CONNECT_TIMEOUT_S = 2.0
 NO_SPARES = planner.Policy(spares=0)
@@ -35,7 +35,7 @@
 
 @attrs.define
 class CallerResult:
-    """What one caller has got."""
+    """What a caller has received in response to one request."""
 
     request: model.Request
     entry: str
@@ -46,21 +46,21 @@
 
     @property
     def verdict(self) -> Verdict | None:
-        """The verdict; None while there is no final answer."""
+        """The verdict; None while there is no final response."""
         if isinstance(self.final_effect, events.Refuse):
             return self.final_effect.problem.verdict
         return Verdict.RAN if self.final_effect is not None else None
 
     @property
     def code(self) -> str:
-        """Code of the problem; empty if there is none."""
+        """Code of the problem document; empty if there is none."""
         if isinstance(self.final_effect, events.Refuse):
             return self.final_effect.problem.code
         return ""
 
 
 class Simulation:
-    """All nodes, servers, disks and wires."""
+    """All nodes, servers, disks and network links of a deployment."""
 
     def __init__(
         self,
@@ -89,13 +89,14 @@
         )
         self.voters = tuple(n for n in self.controls if "/vm1/" in n)
         self.roles: dict[str, Any] = {}
-        self.lives: collections.Counter[str] = collections.Counter()
+        self.incarnations: collections.Counter[str] = collections.Counter()
         self.disks: dict[str, list] = {}
         self.disk_incarnations: collections.Counter[str] = collections.Counter()
-        self.paused: dict[str, float] = {}
+        self.paused_until: dict[str, float] = {}
         self.skew: dict[str, float] = collections.defaultdict(float)
-        self.cuts: set[tuple[str, str]] = set()
-        # Bodies that end the server which runs them, soon after they begin.
+        self.partitions: set[tuple[str, str]] = set()
+        # Request bodies that crash the server which runs them, soon after the
+        # run has started.
         self.crashing_bodies: set[bytes] = set()
         self.group_size = 2
         self.loss = 0.0
@@ -103,63 +104,63 @@
         self.jitter_s = 0.0005
         self.order_delay: Callable[[orders.Order], float] = lambda _: 0.002
         self.servers: dict[str, servers_module.Server] = {}
-        self.answers: dict[str, CallerResult] = {}
+        self.results: dict[str, CallerResult] = {}
         self.outcomes: dict[str, interface.AnswerChange] = {}
         self.statuses: dict[str, interface.AnswerStatus] = {}
         self.bootstraps: dict[str, interface.AnswerBootstrap] = {}
         self.stopped: set[str] = set()
-        self.applied: dict[str, int] = {}
+        self.last_versions: dict[str, int] = {}
         self.in_force: dict[str, int] = collections.Counter()
         self.checkers: list[Callable[[Simulation], None]] = []
         self.log: list[str] = []
         self.steps = 0
-        # What the present step touched, for the checkers.
-        self.touched: list[str] = []
+        # What happened in the current step, for the checkers.
+        self.active_nodes: list[str] = []
         self.new_runs: list[tuple[servers_module.Server, Any]] = []
-        self.ended: list[CallerResult] = []
+        self.completed: list[CallerResult] = []
         self.attempts: list[events.StartAttempt] = []
         self.run_ids: set[str] = set()
-        # When a member left a group: time, group, generation, rank.
-        self.departed: list[tuple[float, str, int, int]] = []
+        # Members that left a group: time, group, generation, rank.
+        self.departures: list[tuple[float, str, int, int]] = []
         self.key_runs: collections.Counter[str] = collections.Counter()
         self.sent = collections.Counter()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
-        self._requests = 0
+        self._request_count = 0
         for name in (*self.controls, *self.entries):
             self.start(name)
 
     # Time.
 
     def call_at(self, when: float, action: Callable[[], None]) -> None:
-        """Does something at a time."""
+        """Schedules an action for a point in simulated time."""
         self._sequence += 1
         heapq.heappush(self._queue, (when, self._sequence, action))
 
     def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Does something after a delay."""
+        """Schedules an action after a delay."""
         self.call_at(self.now + delay_s, action)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time and runs the scheduled actions."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
             action()
             self.steps += 1
-            if self.touched or self.new_runs:
+            if self.active_nodes or self.new_runs:
                 for check in self.checkers:
                     check(self)
-                self.touched.clear()
+                self.active_nodes.clear()
                 self.new_runs.clear()
                 self.attempts.clear()
-                self.ended.clear()
+                self.completed.clear()
         self.now = end
 
     def run_until(
         self, check: Callable[[], Any], limit_s: float = 60.0
     ) -> float:
-        """Lets time pass until a check is true; returns how long it took."""
+        """Runs until a check is true; returns the simulated time it took."""
         start = self.now
         while not check():
             assert self.now - start < limit_s, (
@@ -168,75 +169,75 @@
             self.run(0.05)
         return self.now - start
 
-    def get_wall(self, node: str) -> float:
+    def get_wall_time(self, node: str) -> float:
         """Returns a node's wall clock."""
-        return START_WALL + self.now + self.skew[node]
+        return START_WALL_TIME_S + self.now + self.skew[node]
 
     # Nodes.
 
     def start(self, node: str) -> None:
-        """Starts a process, for the first time or again."""
+        """Starts or restarts a process."""
         self.kill(node)
-        self.lives[node] += 1
-        life = self.lives[node]
-        rng = random.Random(f"{node} {life} {self.rng.random()}")
+        self.incarnations[node] += 1
+        incarnation = self.incarnations[node]
+        rng = random.Random(f"{node} {incarnation} {self.rng.random()}")
         if node in self.entries:
             identity = entry.Identity(node, self.controls)
             self.roles[node] = entry.Entry(identity, rng=rng)
         else:
-            incarnation = ""
+            disk_incarnation = ""
             if node in self.voters:
-                incarnation = f"i{self.disk_incarnations[node]}"
+                disk_incarnation = f"i{self.disk_incarnations[node]}"
             self.roles[node] = control.Control(
-                control.Identity(node, self.controls, incarnation),
+                control.Identity(node, self.controls, disk_incarnation),
                 policy=self.policy,
                 max_skew_s=self.max_skew_s,
                 records=list(self.disks.setdefault(node, [])),
                 rng=rng,
                 now=self.now,
-                wall_time=self.get_wall(node),
+                wall_time=self.get_wall_time(node),
             )
         self.call_later(
-            self.rng.random() * interface.TICK_S, self._tick(node, life)
+            self.rng.random() * interface.TICK_S, self._tick(node, incarnation)
         )
 
     def kill(self, node: str) -> None:
-        """Ends a process at once."""
+        """Kills a process."""
         self.roles.pop(node, None)
-        self.applied.pop(node, None)
-        for answer in self.answers.values():
-            if answer.entry == node and answer.final_effect is None:
-                answer.final_effect = "entry died"
+        self.last_versions.pop(node, None)
+        for result in self.results.values():
+            if result.entry == node and result.final_effect is None:
+                result.final_effect = "entry died"
 
     def wipe_disk(self, node: str) -> None:
-        """Ends a process and empties its disk."""
+        """Kills a process and empties its disk."""
         self.kill(node)
         self.disks[node] = []
         self.disk_incarnations[node] += 1
 
     def pause(self, node: str, seconds: float) -> None:
-        """Stops a process for a time; it does not notice."""
-        self.paused[node] = self.now + seconds
+        """Suspends a process for a time; it gets no event about it."""
+        self.paused_until[node] = self.now + seconds
 
-    def _tick(self, node: str, life: int) -> Callable[[], None]:
+    def _tick(self, node: str, incarnation: int) -> Callable[[], None]:
         def tick() -> None:
-            if self.lives[node] != life or node not in self.roles:
+            if self.incarnations[node] != incarnation or node not in self.roles:
                 return
-            self.deliver(node, interface.Tick(self.get_wall(node)))
+            self.deliver(node, interface.Tick(self.get_wall_time(node)))
             self.call_later(interface.TICK_S, tick)
 
         return tick
 
     def deliver(self, node: str, event: Any) -> None:
-        """Gives an event to a node, once it is not paused."""
-        resume = self.paused.get(node, 0.0)
+        """Delivers an event to a node; to a paused one once it resumes."""
+        resume = self.paused_until.get(node, 0.0)
         if self.now < resume:
             self.call_at(resume, lambda: self.deliver(node, event))
             return
         role = self.roles.get(node)
         if role is None:
             return
-        self.touched.append(node)
+        self.active_nodes.append(node)
         for effect in role.reduce(event, self.now):
             self._carry_out(node, effect)
 
@@ -250,11 +251,11 @@
                 if self.roles[node].may_issue_orders(self.now):
                     self.call_later(
                         self.order_delay(order),
-                        lambda: self._order(node, order),
+                        lambda: self._deliver_order(node, order),
                     )
             case events.StartAttempt():
                 self.attempts.append(effect)
-                self._open(node, effect)
+                self._start_attempt(node, effect)
             case events.CancelAttempt(attempt_id, request_id, replica, stop):
                 server = self.servers.get(replica.vm)
                 if server and stop:
@@ -262,16 +263,16 @@
                 if server:
                     server.streams.pop(attempt_id, None)
             case events.EmitText(request_id, text):
-                self.answers[request_id].text += text
+                self.results[request_id].text += text
             case (
                 events.FinishStream(request_id)
                 | events.SendResponse(request_id)
                 | events.Refuse(request_id)
             ):
-                answer = self.answers[request_id]
-                assert answer.final_effect is None, "two final answers"
-                answer.final_effect, answer.ended_at = effect, self.now
-                self.ended.append(answer)
+                result = self.results[request_id]
+                assert result.final_effect is None, "two final responses"
+                result.final_effect, result.ended_at = effect, self.now
+                self.completed.append(result)
             case interface.AnswerChange(change_id):
                 self.outcomes[change_id] = effect
             case interface.AnswerStatus(token):
@@ -283,47 +284,47 @@
 
     # The network.
 
-    def is_cut(self, source: str, target: str) -> bool:
-        """Says whether nothing gets from one place to another."""
+    def is_partitioned(self, source: str, target: str) -> bool:
+        """Returns whether a partition separates a source from a target."""
         pairs = (
             (a, b)
             for a in (source, nodes.get_zone(source))
             for b in (target, nodes.get_zone(target))
         )
-        return any(pair in self.cuts for pair in pairs)
+        return any(pair in self.partitions for pair in pairs)
 
     def partition(self, one: str, other: str, *, one_way: bool = False) -> None:
-        """Cuts two nodes or zones from each other."""
-        self.cuts.add((one, other))
+        """Partitions two nodes or zones from each other."""
+        self.partitions.add((one, other))
         if not one_way:
-            self.cuts.add((other, one))
+            self.partitions.add((other, one))
 
     def isolate_zone(self, zone: str) -> None:
-        """Cuts a zone from all others."""
+        """Partitions a zone from all others."""
         for other in self.zones:
             if other != zone:
                 self.partition(zone, other)
 
     def heal(self) -> None:
-        """Mends all cuts."""
-        self.cuts.clear()
+        """Ends all partitions."""
+        self.partitions.clear()
 
-    def _flight_s(self) -> float:
+    def _draw_latency_s(self) -> float:
         return self.delay_s + self.rng.random() * self.jitter_s
 
     def send(self, source: str, target: str, message: Any) -> None:
-        """Puts a message on its way."""
+        """Sends a message, which may be lost."""
         self.sent[type(message).__name__] += 1
         if source != target and (
-            self.is_cut(source, target) or self.rng.random() < self.loss
+            self.is_partitioned(source, target) or self.rng.random() < self.loss
         ):
             return
         self.call_later(
-            self._flight_s(),
+            self._draw_latency_s(),
             lambda: self.deliver(
                 target,
                 interface.MessageArrived(
-                    source, message, self.get_wall(target)
+                    source, message, self.get_wall_time(target)
                 ),
             ),
         )
@@ -350,31 +351,32 @@
             )
 
     def kill_server(self, vm: str) -> None:
-        """Ends a backend server: its connections break."""
+        """Kills a backend server; its connections are lost."""
         server = self.servers[vm]
         server.alive = False
-        self._note_departure(server.state)
-        self._break_streams(server)
+        self._record_departure(server.state)
+        self._fail_streams(server)
         for other in self.servers.values():
             if other.state.group and other.state.group == server.state.group:
-                # A replica dies with any of its members.
+                # A replica cannot compute without all of its members, so
+                # its other members lose their work as well.
                 other.batch.clear()
-                self._break_streams(other)
+                self._fail_streams(other)
 
     def pause_server(self, vm: str, seconds: float) -> None:
-        """Stops a backend server for a time; it does not notice."""
+        """Suspends a backend server for a time; it gets no event about it."""
         server = self.servers[vm]
         server.paused_since = self.now
         server.paused_until = self.now + seconds
 
-    def _note_departure(self, state: announcements.ServerState) -> None:
+    def _record_departure(self, state: announcements.ServerState) -> None:
         if state.group:
-            self.departed.append(
+            self.departures.append(
                 (self.now, state.group, state.generation, state.rank)
             )
 
-    def _is_whole(self, server: servers_module.Server) -> bool:
-        """Says whether a replica can compute: all its members work with it."""
+    def _is_complete(self, server: servers_module.Server) -> bool:
+        """Returns whether all members of a server's group are up."""
         state = server.state
         ranks = {
             other.state.rank
@@ -386,7 +388,7 @@
         return len(ranks) == state.size
 
     def restart_server(self, vm: str) -> None:
-        """Starts a backend server again, empty."""
+        """Restarts a backend server, in no group and without weights."""
         old = self.servers[vm]
         state = attrs.evolve(
             old.state,
@@ -403,13 +405,13 @@
         old.batch = batch.Batch(old.batch.speed)
         old.alive, old.stepping = True, False
 
-    def _break_streams(self, server: servers_module.Server) -> None:
+    def _fail_streams(self, server: servers_module.Server) -> None:
         for attempt_id, (node, _) in list(server.streams.items()):
             failure = events.AttemptFailed(
                 attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
             self.call_later(
-                self._flight_s(),
+                self._draw_latency_s(),
                 lambda n=node, f=failure: self.deliver(n, f),
             )
         server.streams.clear()
@@ -424,8 +426,11 @@
         zone = server.state.zone
         own = [n for n in self.entries if nodes.get_zone(n) == zone]
         for node in rendezvous.rank_names(server.state.vm, own):
-            is_up = node in self.roles and self.paused.get(node, 0) <= self.now
-            if is_up and not self.is_cut(server.state.vm, node):
+            is_up = (
+                node in self.roles
+                and self.paused_until.get(node, 0) <= self.now
+            )
+            if is_up and not self.is_partitioned(server.state.vm, node):
                 load = announcements.Load(
                     server.batch.running, server.batch.queued
                 )
@@ -434,11 +439,11 @@
                 self.deliver(node, event)
                 return
 
-    def _order(self, node: str, order: orders.Order) -> None:
+    def _deliver_order(self, node: str, order: orders.Order) -> None:
         server = self.servers.get(order.vm)
         if server is None or not server.is_up(self.now):
             return
-        if self.is_cut(node, order.vm):
+        if self.is_partitioned(node, order.vm):
             return
         old = server.state
         before = (old.group, old.generation)
@@ -450,9 +455,9 @@
         if refusal:
             return
         if before != (server.state.group, server.state.generation):
-            self._note_departure(old)
+            self._record_departure(old)
             server.batch.clear()
-            self._break_streams(server)
+            self._fail_streams(server)
         if server.state.phase == announcements.PHASE_LOADING:
             server.loaded_at = self.now + server.load_s
             self.call_at(server.loaded_at, lambda: self._finish_load(server))
@@ -474,42 +479,50 @@
         max_tokens: int = 10,
         **fields: Any,
     ) -> CallerResult:
-        """Submits a request to an entry; returns where its answer comes."""
-        self._requests += 1
+        """Submits a request to an entry; returns its result, filled later."""
+        self._request_count += 1
         request_id = nodes.make_request_id(
-            node, self.lives[node], self._requests
+            node, self.incarnations[node], self._request_count
         )
-        fields.setdefault("body", f"prompt {self._requests}".encode())
+        fields.setdefault("body", f"prompt {self._request_count}".encode())
         fields.setdefault("workspace", "homeowners")
         request = model.Request(
             request_id=request_id,
             service=service,
             idempotency_key=key,
-            key_created_at=START_WALL + self.now - key_age_s if key else 0.0,
+            key_created_at=START_WALL_TIME_S + self.now - key_age_s
+            if key
+            else 0.0,
             max_tokens=max_tokens,
             **fields,
         )
-        answer = CallerResult(request, node, self.now)
-        self.answers[request_id] = answer
+        result = CallerResult(request, node, self.now)
+        self.results[request_id] = result
         if node not in self.roles:
-            answer.final_effect = "entry died"
-            return answer
-        self.deliver(node, events.RequestArrived(request, self.get_wall(node)))
-        return answer
+            result.final_effect = "entry died"
+            return result
+        self.deliver(
+            node, events.RequestArrived(request, self.get_wall_time(node))
+        )
+        return result
 
-    def _open(self, node: str, attempt: events.StartAttempt) -> None:
+    def _start_attempt(self, node: str, attempt: events.StartAttempt) -> None:
         server = self.servers[attempt.replica.vm]
         vm = server.state.vm
-        if self.is_cut(node, vm) or not server.alive:
-            delay_s = CONNECT_TIMEOUT_S if server.alive else self._flight_s()
+        if self.is_partitioned(node, vm) or not server.alive:
+            delay_s = (
+                CONNECT_TIMEOUT_S if server.alive else self._draw_latency_s()
+            )
             failure = events.AttemptFailed(
                 attempt.attempt_id, Verdict.NOT_RUN, "unreachable"
             )
             self.call_later(delay_s, lambda: self.deliver(node, failure))
             return
-        self.call_later(self._flight_s(), lambda: self._serve(node, attempt))
+        self.call_later(
+            self._draw_latency_s(), lambda: self._serve(node, attempt)
+        )
 
-    def _end_under(
+    def _crash_during(
         self, server: servers_module.Server, attempt: events.StartAttempt
     ) -> None:
         if server.alive and attempt.attempt_id in server.streams:
@@ -522,7 +535,7 @@
                 attempt.attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
             self.call_later(
-                self._flight_s(), lambda: self.deliver(node, failure)
+                self._draw_latency_s(), lambda: self.deliver(node, failure)
             )
             return
         if server.refusal_retry_after_s is not None:
@@ -534,7 +547,7 @@
                 server.refusal_retry_after_s,
             )
             self.call_later(
-                self._flight_s(), lambda: self.deliver(node, refusal)
+                self._draw_latency_s(), lambda: self.deliver(node, refusal)
             )
             return
         if self.now < server.paused_until:
@@ -565,15 +578,15 @@
                 attempt.attempt_id, Verdict.NOT_RUN, "wrong_group"
             )
             self.call_later(
-                self._flight_s(), lambda: self.deliver(node, refusal)
+                self._draw_latency_s(), lambda: self.deliver(node, refusal)
             )
             return
-        if not server.is_plain and not self._is_whole(server):
+        if not server.is_plain and not self._is_complete(server):
             failure = events.AttemptFailed(
                 attempt.attempt_id, Verdict.MAY_HAVE_RUN, "broken"
             )
             self.call_later(
-                self._flight_s(), lambda: self.deliver(node, failure)
+                self._draw_latency_s(), lambda: self.deliver(node, failure)
             )
             return
         run = servers_module.Run(
@@ -589,11 +602,11 @@
             self.key_runs[request.idempotency_key] += 1
         server.streams[attempt.attempt_id] = (node, request.request_id)
         if request.body in self.crashing_bodies:
-            self.call_later(0.1, lambda: self._end_under(server, attempt))
+            self.call_later(0.1, lambda: self._crash_during(server, attempt))
             return
         if server.is_plain:
             self.call_later(
-                server.service_s, lambda: self._answer_plain(server, attempt)
+                server.service_s, lambda: self._respond_plain(server, attempt)
             )
             return
         server.batch.submit(
@@ -609,13 +622,13 @@
         )
         self._step(server)
 
-    def _answer_plain(
+    def _respond_plain(
         self, server: servers_module.Server, attempt: events.StartAttempt
     ) -> None:
         found = server.streams.pop(attempt.attempt_id, None)
-        if found is None or self.is_cut(server.state.vm, found[0]):
+        if found is None or self.is_partitioned(server.state.vm, found[0]):
             return
-        answer = events.AnswerArrived(
+        response = events.AnswerArrived(
             attempt.attempt_id,
             attempt.request.request_id,
             200,
@@ -623,7 +636,7 @@
             b"run for " + attempt.request.body,
         )
         self.call_later(
-            self._flight_s(), lambda: self.deliver(found[0], answer)
+            self._draw_latency_s(), lambda: self.deliver(found[0], response)
         )
 
     def _step(self, server: servers_module.Server) -> None:
@@ -660,7 +673,7 @@
         node: str,
         frame: batch.Frame,
     ) -> None:
-        if self.is_cut(server.state.vm, node):
+        if self.is_partitioned(server.state.vm, node):
             return
         arrived = events.FrameArrived(
             attempt_id,
@@ -670,7 +683,7 @@
             frame.text,
             "length" if frame.is_last else "",
         )
-        # One connection keeps its order, so there is no jitter here.
+        # A connection keeps the order of its frames, so they have no jitter.
         self.call_later(self.delay_s, lambda: self.deliver(node, arrived))
         if frame.is_last:
             server.streams.pop(attempt_id, None)
