--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -84,7 +84,7 @@
 
     def lose_servers() -> None:
         for number in range(LOSSES):
-            simulation.crash(simulation.list_open()[number].name)
+            simulation.crash(simulation.list_open_heads()[number].name)
             simulation.run(LOSS_INTERVAL_S)
 
     lossy = _count_messages(simulation, lose_servers)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -66,7 +66,7 @@
     return permit_broker.PermitBroker(
         COORDINATOR,
         registry=registry.Registry(),
-        neighbours=peer_directory.PeerDirectory(node=COORDINATOR, seeds=()),
+        peers=peer_directory.PeerDirectory(node=COORDINATOR, seeds=()),
         gateways=gateways.Gateways(zone=COORDINATOR),
     )
 
@@ -124,7 +124,9 @@
     encoded = codec.encode_envelope(codec.Envelope(GATEWAY, "", request))
 
     def handle() -> None:
-        broker.handle_request(request, GATEWAY, is_fresh=True, now=100.0)
+        broker.handle_request(
+            request, GATEWAY, has_recent_leader=True, now=100.0
+        )
 
     print(f"handling a request of {REQUESTED}: {measure_time(handle):.0f} us")
     decode_us = measure_time(lambda: codec.decode_envelope(encoded))
@@ -146,7 +148,7 @@
     permit_allocator = allocator.Allocator()
     us = measure_time(
         lambda: permit_allocator.allocate(
-            requested[0], limit, is_fresh=True, now=100.0
+            requested[0], limit, has_recent_leader=True, now=100.0
         )
     )
     print(f"one server's permits: {us:.1f} us")
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -131,7 +131,7 @@
     return policy.LoadBalancingPolicy(
         zone="z",
         table=simulation.tables[number],
-        book=simulation.trackers[number],
+        health=simulation.trackers[number],
         rng=random.Random(f"own {number}"),
     )
 
@@ -181,7 +181,7 @@
                 entry=f"z/vm{n}/entry",
                 controls=CONTROLS,
                 table=self.tables[n],
-                book=self.trackers[n],
+                health=self.trackers[n],
                 policy=POLICIES[name](self, n),
             )
             for n in range(ENTRIES)
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -103,7 +103,7 @@
         if self.is_counting:
             self.costs[node].processor_s += time.process_time() - start
         for effect in effects:
-            self._carry_out(node, effect)
+            self._apply_effect(node, effect)
 
 
 def build(size: Size) -> CountingSimulation:
@@ -217,7 +217,7 @@
     table_publisher.publish(
         replicas=replicas,
         members=membership.members,
-        listeners=[],
+        recipients=[],
         fence=1,
         now=0.0,
     )
--- a/src/hickorylead/claims/messages.py
+++ b/src/hickorylead/claims/messages.py
@@ -15,7 +15,7 @@
 TOO_OLD = "too_old"
 ABSTAINED = "abstained"
 
-MAX_KEPT_BODY = 2048
+MAX_STORED_BODY_BYTES = 2048
 
 
 @attrs.frozen
--- a/src/hickorylead/commands/client.py
+++ b/src/hickorylead/commands/client.py
@@ -75,7 +75,7 @@
         from hickorylead.runtime import json_codec
 
         document = self.get("/admin/configuration")
-        return json_codec.read_configuration(document).unwrap()
+        return json_codec.decode_configuration(document).unwrap()
 
     def submit(
         self, operation: changes.Operation, expected_version: int | None
@@ -106,7 +106,7 @@
             {
                 "change_id": change_id,
                 "expected_version": expected_version,
-                "operation": json_codec.dump_operation(operation),
+                "operation": json_codec.encode_operation(operation),
             }
         )
         response = asyncio.run(self._submit(body, change_id))
--- a/src/hickorylead/configuration/document.py
+++ b/src/hickorylead/configuration/document.py
@@ -220,7 +220,7 @@
         return next((s for s in self.services if s.name == name), None)
 
 
-def check_document(document: Document) -> list[str]:
+def validate_document(document: Document) -> list[str]:
     """Returns the problems of a configuration; empty if it is valid."""
     problems = []
     if document.version < 1:
--- a/src/hickorylead/configuration/follower.py
+++ b/src/hickorylead/configuration/follower.py
@@ -82,7 +82,9 @@
             return ""
         return self.leader
 
-    def receive(self, update: messages.ConfigurationUpdate, now: float) -> bool:
+    def handle_update(
+        self, update: messages.ConfigurationUpdate, now: float
+    ) -> bool:
         """Handles an update; returns whether the version rose."""
         if update.leader and (update.from_leader or not self.find_leader(now)):
             self.leader = update.leader
@@ -99,7 +101,7 @@
         )
         return is_newer
 
-    def poll(self, now: float) -> list[messages.Send]:
+    def collect_messages(self, now: float) -> list[messages.Send]:
         """Returns requests for newer versions when they are due.
 
         An entry that is ready sends no more of them: its digests report the
--- a/src/hickorylead/crashes/crash_tracker.py
+++ b/src/hickorylead/crashes/crash_tracker.py
@@ -27,7 +27,7 @@
 # Where digests are not compared, all lost runs are sent again at this interval,
 # in seconds, if there are any: within it a process that restarted has the
 # blocked requests again.
-RETELL_PERIOD_S = 5.0
+FULL_SYNC_PERIOD_S = 5.0
 
 
 class CrashTracker:
--- a/src/hickorylead/fleet/gateways.py
+++ b/src/hickorylead/fleet/gateways.py
@@ -71,7 +71,7 @@
             if now - gateway.last_hello_at <= GATEWAY_TIMEOUT_S
         ]
 
-    def list_homed(self, now: float) -> list[str]:
+    def list_home_gateways(self, now: float) -> list[str]:
         """Returns the gateways whose home coordinator is this one."""
         return [n for n in self.list_all(now) if self._gateways[n].is_home]
 
@@ -184,19 +184,19 @@
             self._gateways[node].document_sent_at = now
 
     def tick(
-        self, *, is_fresh: bool, homed_elsewhere: int, now: float
+        self, *, is_fresh: bool, other_gateways: int, now: float
     ) -> list[tuple[str, messages.Message]]:
         """Returns the loads of the zone, when they are due.
 
         Args:
             is_fresh: Whether this node's configuration is certainly recent.
-            homed_elsewhere: Number of gateways with another home coordinator.
+            other_gateways: Number of gateways with another home coordinator.
             now: Present time.
         """
         if now < self._next_loads:
             return []
         self._next_loads = now + LOADS_PERIOD_S
-        own = self.list_homed(now)
+        own = self.list_home_gateways(now)
         if not own:
             return []
         totals: collections.Counter[str] = collections.Counter()
@@ -211,6 +211,6 @@
             nodes.get_zone(self._zone),
             loads,
             is_fresh,
-            len(own) + homed_elsewhere,
+            len(own) + other_gateways,
         )
         return [(name, message) for name in own]
--- a/src/hickorylead/fleet/peer_directory.py
+++ b/src/hickorylead/fleet/peer_directory.py
@@ -91,7 +91,7 @@
             if now - peer.last_hello_at <= PEER_TIMEOUT_S
         )
 
-    def list_homes(self, now: float) -> list[str]:
+    def list_home_coordinators(self, now: float) -> list[str]:
         """Returns the alive peers that are home to gateways, sorted."""
         return [n for n in self.list_alive(now) if self.known[n].gateways]
 
--- a/src/hickorylead/fleet/registry.py
+++ b/src/hickorylead/fleet/registry.py
@@ -256,7 +256,7 @@
     return int.from_bytes(digest)
 
 
-def merge_all(
+def merge_updates(
     registry: Registry, updates: Iterable[instances.Instance], now: float
 ) -> list[instances.Instance]:
     """Merges several updates; returns those that changed anything."""
--- a/src/hickorylead/fleet/server_codec.py
+++ b/src/hickorylead/fleet/server_codec.py
@@ -62,7 +62,7 @@
 class ServerCodec(Protocol):
     """Encodes and decodes calls between coordinators and servers."""
 
-    def encode_order(self, give: orders.SendOrder) -> HttpCall:
+    def encode_order(self, effect: orders.SendOrder) -> HttpCall:
         """Returns the call that sends an order."""
 
     def encode_report_request(self) -> HttpCall:
--- a/src/hickorylead/fleet/supervisor.py
+++ b/src/hickorylead/fleet/supervisor.py
@@ -113,7 +113,7 @@
         """Records that callers are served: loads are limited from now on."""
         self._has_traffic = True
 
-    def pause_calls(self, name: str, born: int, until: float) -> None:
+    def record_pause(self, name: str, born: int, until: float) -> None:
         """Pauses calls to one incarnation of a server."""
         previous = self._pauses.get((name, born), until)
         self._pauses[name, born] = max(previous, until)
--- a/src/hickorylead/forwarding/forwarder.py
+++ b/src/hickorylead/forwarding/forwarder.py
@@ -107,7 +107,7 @@
         self._has_gateway_count = False
         self.document: document_module.Document | None = None
 
-    def count_open(self) -> int:
+    def count_pending(self) -> int:
         """Returns the number of pending requests."""
         return len(self._pending)
 
--- a/src/hickorylead/forwarding/header_codec.py
+++ b/src/hickorylead/forwarding/header_codec.py
@@ -35,7 +35,7 @@
     ) -> model.ResponseHead:
         """Returns the decoded head of a replica's response."""
 
-    def write_refusal(
+    def encode_refusal(
         self, refusal: events.Refuse, attempt_id: str
     ) -> tuple[tuple[model.Header, ...], bytes]:
         """Returns the headers and body of a refusal."""
--- a/src/hickorylead/lease/zone_lease.py
+++ b/src/hickorylead/lease/zone_lease.py
@@ -22,7 +22,7 @@
 ROUND_TIMEOUT_S = 0.25
 RETRY_MIN_S = 0.4
 RETRY_MAX_S = 1.6
-LONGEST_ORDER_S = 2.0
+MAX_ORDER_DELAY_S = 2.0
 # Fencing numbers rise in steps of this; the part below a step is random. After
 # all control processes of the zone have restarted, none of them has the numbers
 # that were used, and two holders with the same number would be
@@ -88,7 +88,7 @@
         """
         return (
             self.is_held(now)
-            and now >= self._held_since + LONGEST_ORDER_S
+            and now >= self._held_since + MAX_ORDER_DELAY_S
             and self._number >= self._highest
         )
 
--- a/src/hickorylead/membership/registry.py
+++ b/src/hickorylead/membership/registry.py
@@ -78,7 +78,7 @@
         self.entries: dict[str, EntryRecord] = {}
         # Counts changes of states and presence, so that callers can detect
         # changes cheaply.
-        self.changes = 0
+        self.change_count = 0
         self._missing: set[str] = set()
         self._next_check = 0.0
 
@@ -138,7 +138,7 @@
 
     def _remove(self, vm: str) -> None:
         member = self.members.pop(vm, None)
-        self.changes += 1
+        self.change_count += 1
         record = self.entries.get(member.entry) if member else None
         if record is not None:
             record.remove(vm)
@@ -149,7 +149,7 @@
             if member is not None and member.missing_since is None:
                 member.missing_since = now
                 self._missing.add(vm)
-                self.changes += 1
+                self.change_count += 1
 
     def _handle_digest(
         self, digest: messages.Digest, now: float
--- a/src/hickorylead/platform/documents.py
+++ b/src/hickorylead/platform/documents.py
@@ -42,7 +42,7 @@
         AttributeError,
     ) as error:
         return result.Failure(f"cannot be decoded: {error}")
-    problems = document.check_document(decoded)
+    problems = document.validate_document(decoded)
     if problems:
         return result.Failure("; ".join(problems))
     return result.Success(decoded)
--- a/src/hickorylead/platform/headers.py
+++ b/src/hickorylead/platform/headers.py
@@ -166,7 +166,7 @@
             else "",
         )
 
-    def write_refusal(
+    def encode_refusal(
         self, refusal: events.Refuse, attempt_id: str
     ) -> tuple[tuple[model.Header, ...], bytes]:
         """Returns the headers and body of a refusal."""
--- a/src/hickorylead/platform/program.py
+++ b/src/hickorylead/platform/program.py
@@ -59,7 +59,7 @@
     log = decisions.DecisionLog(
         common={"role": role, "zone": settings.zone, "vm": settings.vm},
         clock=clock.read_boottime,
-        wall=clock.read_wall,
+        read_wall_time=clock.read_wall,
     )
     if role == "gateway":
         asyncio.run(_run_gateway(settings, log, listening_socket))
@@ -79,7 +79,7 @@
     process = gateway.GatewayProcess(
         _make_gateway_settings(settings),
         header_codec=headers.PlatformHeaderCodec(),
-        read_document=documents.decode_compressed,
+        decode_document=documents.decode_compressed,
         reload=lambda: _make_gateway_settings(
             settings_module.load_settings("gateway")
         ),
@@ -99,7 +99,7 @@
     process = coordinator.CoordinatorProcess(
         _make_coordinator_settings(settings),
         server_codec=servers.PlatformServerCodec(),
-        read_document=documents.decode_compressed,
+        decode_document=documents.decode_compressed,
         make_app=control.make_app,
         reload=lambda: _make_coordinator_settings(
             settings_module.load_settings("coordinator")
--- a/src/hickorylead/platform/servers.py
+++ b/src/hickorylead/platform/servers.py
@@ -123,12 +123,12 @@
 class PlatformServerCodec(server_codec.ServerCodec):
     """Codec of the platform's calls between coordinators and servers."""
 
-    def encode_order(self, give: orders.SendOrder) -> server_codec.HttpCall:
+    def encode_order(self, effect: orders.SendOrder) -> server_codec.HttpCall:
         """Returns the call that sends an order."""
-        body = _encode_order(give.order)
-        if give.expected is not None:
+        body = _encode_order(effect.order)
+        if effect.expected is not None:
             # The number of orders that the server must have accepted.
-            body["Expected"] = give.expected
+            body["Expected"] = effect.expected
         return server_codec.HttpCall("POST", "/order", orjson.dumps(body))
 
     def encode_report_request(self) -> server_codec.HttpCall:
--- a/src/hickorylead/ratelimits/allocator.py
+++ b/src/hickorylead/ratelimits/allocator.py
@@ -82,7 +82,7 @@
         ask: messages.Ask,
         known: limit_table.KnownLimit,
         *,
-        is_fresh: bool,
+        has_recent_leader: bool,
         now: float,
     ) -> messages.Permits:
         """Returns the permits that a gateway gets.
@@ -90,11 +90,12 @@
         Args:
             ask: The gateway's request for permits.
             known: The server's limit.
-            is_fresh: Whether this coordinator had recent contact with a leader.
+            has_recent_leader: Whether this coordinator had recent contact with
+                a leader.
             now: Present time.
         """
         server = ask.limit.server
-        share = 1.0 if is_fresh else PARTITION_SHARE
+        share = 1.0 if has_recent_leader else PARTITION_SHARE
         per_s = share * max(known.per_s, MIN_RATE_PER_S)
         bucket = self._fill(server, known, per_s, now)
         capacity = _get_capacity(per_s)
--- a/src/hickorylead/ratelimits/permit_broker.py
+++ b/src/hickorylead/ratelimits/permit_broker.py
@@ -40,7 +40,7 @@
         node: str,
         *,
         registry: registry_module.Registry,
-        neighbours: peer_directory_module.PeerDirectory,
+        peers: peer_directory_module.PeerDirectory,
         gateways: gateways_module.Gateways,
     ) -> None:
         """Makes a broker without limits.
@@ -48,12 +48,12 @@
         Args:
             node: Name of the coordinator.
             registry: Backend servers that it knows.
-            neighbours: The other coordinators.
+            peers: The other coordinators.
             gateways: The gateways that it knows.
         """
         self._node = node
         self._registry = registry
-        self._peers = neighbours
+        self._peers = peers
         self._gateways = gateways
         self._table = limit_table.LimitTable()
         self._allocator = allocator.Allocator()
@@ -72,7 +72,7 @@
         forwarded = messages.LimitNews(
             self._node, self._table.describe(changed, now)
         )
-        targets = self._gateways.list_homed(now)
+        targets = self._gateways.list_home_gateways(now)
         if update.sender not in self._peers.known:
             targets += self._peers.list_alive(now)
         return [(node, forwarded) for node in targets]
@@ -82,7 +82,7 @@
         request: messages.PermitRequest,
         sender: str,
         *,
-        is_fresh: bool,
+        has_recent_leader: bool,
         now: float,
     ) -> list[Sent]:
         """Grants the permits of a request, or forwards it to the owners.
@@ -91,7 +91,8 @@
             request: The request.
             sender: Node that sent it here: the gateway, or its home
                 coordinator.
-            is_fresh: Whether this coordinator had recent contact with a leader.
+            has_recent_leader: Whether this coordinator had recent contact with
+                a leader.
             now: Present time.
         """
         # The gateway may know a limit that its home coordinator has not
@@ -112,7 +113,7 @@
         ]
         if own_asks:
             permits = tuple(
-                self._allocate(ask, is_fresh, now) for ask in own_asks
+                self._allocate(ask, has_recent_leader, now) for ask in own_asks
             )
             reply = messages.PermitReply(
                 request.gateway, request.number, permits
@@ -135,7 +136,7 @@
         self._next_sync_at = now + FULL_SYNC_PERIOD_S
         self._table.prune(now)
         self._allocator.prune(now)
-        targets = self._gateways.list_homed(now)
+        targets = self._gateways.list_home_gateways(now)
         return self._make_full_updates(
             [*targets, *self._peers.list_alive(now)], now
         )
@@ -161,7 +162,7 @@
         return self._peers.find_owner(zone, server, now)
 
     def _allocate(
-        self, ask: messages.Ask, is_fresh: bool, now: float
+        self, ask: messages.Ask, has_recent_leader: bool, now: float
     ) -> messages.Permits:
         limit = ask.limit
         known = self._table.find(limit.server, limit.born, now)
@@ -173,4 +174,6 @@
             return messages.Permits(
                 limit.server, limit.born, ask.wanted, lease_ms
             )
-        return self._allocator.allocate(ask, known, is_fresh=is_fresh, now=now)
+        return self._allocator.allocate(
+            ask, known, has_recent_leader=has_recent_leader, now=now
+        )
--- a/src/hickorylead/requests/dispatcher.py
+++ b/src/hickorylead/requests/dispatcher.py
@@ -42,7 +42,7 @@
         entry: str,
         controls: Mapping[str, Sequence[str]],
         table: table.ReplicaTable,
-        book: health.HealthTracker,
+        health: health.HealthTracker,
         policy: policy_module.LoadBalancingPolicy,
         guard: crash_guard_module.CrashGuard,
     ) -> None:
@@ -52,14 +52,14 @@
             entry: Name of this entry.
             controls: Control processes by zone, which hold claims.
             table: Replicas that accept requests.
-            book: Health of the replicas, as observed by this entry.
+            health: Health of the replicas, as observed by this entry.
             policy: Chooses the replica for a request.
             guard: Tracks blocked request hashes and lost runs.
         """
         self._entry = entry
         self._controls = controls
         self._table = table
-        self._health = book
+        self._health = health
         self._policy = policy
         self._guard = guard
         self._budget = budget_module.RetryBudget()
@@ -68,10 +68,10 @@
         self._claiming: set[str] = set()
         self._duration_s: dict[str, float] = {}
         self.queues: dict[str, queue.FairQueue] = {}
-        self.trails = history.HistoryStore()
+        self.histories = history.HistoryStore()
         self.draining = False
 
-    def count_open(self) -> int:
+    def count_pending(self) -> int:
         """Returns how many requests have no final response yet."""
         return len(self._pending)
 
@@ -143,7 +143,7 @@
         configuration: configuration_model.Configuration,
         now: float,
     ) -> list[Effect]:
-        self.trails.start(
+        self.histories.start(
             request.request_id, request.service, request.workspace, now
         )
         service = configuration.find_service(request.service)
@@ -238,7 +238,7 @@
         if result == "waiting":
             return []
         self._claiming.discard(pending.request.request_id)
-        self.trails.add(pending.request.request_id, now, f"claim_{result}")
+        self.histories.add(pending.request.request_id, now, f"claim_{result}")
         if result == "granted":
             return self._enqueue(pending, now)
         answer = pending.claimant.answer
@@ -373,7 +373,7 @@
         pending.current_attempt = attempt
         self._by_attempt[attempt.attempt_id] = request.request_id
         self._health.record_start(choice.replica.group, now)
-        self.trails.add(
+        self.histories.add(
             request.request_id,
             now,
             "attempt",
@@ -490,7 +490,7 @@
         self._end_attempt(pending, now)
         self._guard.record_complete_response(pending.request_hash, now)
         self._health.get(attempt.replica.group).failures = 0
-        self.trails.add(request.request_id, now, "ran")
+        self.histories.add(request.request_id, now, "ran")
         del self._pending[request.request_id]
         effects: list[Effect] = []
         if pending.claimant is not None:
@@ -552,7 +552,7 @@
         pending.verdict = verdict_module.combine_verdicts(
             pending.verdict, verdict
         )
-        self.trails.add(
+        self.histories.add(
             request.request_id,
             now,
             "attempt_failed",
@@ -661,7 +661,7 @@
         attempt.is_attached = True
         attempt.last_frame_at = now
         self._by_attempt[attempt.attempt_id] = request_id
-        self.trails.add(request_id, now, "attach", attempt.attempt_id)
+        self.histories.add(request_id, now, "attach", attempt.attempt_id)
         return [
             close,
             events.StartAttempt(
@@ -723,7 +723,7 @@
             # Cancelling it could leave its work incomplete. It runs to its
             # end, and a resend gets the response from the claim.
             return []
-        self.trails.add(request_id, now, "caller_left")
+        self.histories.add(request_id, now, "caller_left")
         effects: list[Effect] = []
         attempt = pending.current_attempt
         if attempt is not None:
@@ -745,7 +745,7 @@
         self, pending: state.PendingRequest, problem: model.Problem, now: float
     ) -> list[Effect]:
         request_id = pending.request.request_id
-        self.trails.add(
+        self.histories.add(
             request_id,
             now,
             "refused",
--- a/src/hickorylead/requests/outcomes.py
+++ b/src/hickorylead/requests/outcomes.py
@@ -145,7 +145,7 @@
 
     Its body is omitted, and it is marked incomplete, if it is too long.
     """
-    complete = len(body) <= claim_messages.MAX_KEPT_BODY
+    complete = len(body) <= claim_messages.MAX_STORED_BODY_BYTES
     return claim_messages.FinalAnswer(
         verdict=Verdict.RAN.value,
         status=status,
--- a/src/hickorylead/roles/control.py
+++ b/src/hickorylead/roles/control.py
@@ -172,7 +172,7 @@
                 self._follower.ready = True
         self._registry.tick(now)
         effects += _convert_effects(self._lease.tick(now))
-        effects += _convert_effects(self._follower.poll(now))
+        effects += _convert_effects(self._follower.collect_messages(now))
         configuration = (
             self._follower.configuration if self._follower.ready else None
         )
@@ -200,7 +200,7 @@
         # Entries detect which replicas ended; nothing is sent before that.
         sent, _ = self._crashes.tick(lambda _: False, entries, now)
         if now >= self._next_resend:
-            self._next_resend = now + crash_tracker_module.RETELL_PERIOD_S
+            self._next_resend = now + crash_tracker_module.FULL_SYNC_PERIOD_S
             if self._crashes.count_blocked():
                 update = self._crashes.make_block_update(now)
                 sent = [(node, update) for node in entries]
@@ -302,7 +302,7 @@
             case messages.ConfigurationRequest(node, version):
                 return [interface.Send(node, self._make_update(version, now))]
             case messages.ConfigurationUpdate():
-                is_new = self._follower.receive(message, now)
+                is_new = self._follower.handle_update(message, now)
                 return self._send_update_to_entries(now) if is_new else []
             case messages.ChangeRequest(entry, change):
                 return self._handle_change(entry, change, now)
--- a/src/hickorylead/roles/coordinator.py
+++ b/src/hickorylead/roles/coordinator.py
@@ -89,7 +89,7 @@
         self,
         identity: identity_module.Identity,
         *,
-        read_document: Callable[
+        decode_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
         policy: group_builder_module.StandbyPolicy,
@@ -102,7 +102,7 @@
 
         Args:
             identity: Its identity.
-            read_document: Decodes a complete configuration as operators
+            decode_document: Decodes a complete configuration as operators
                 submit it.
             policy: Trade-off between downtime and stranded accelerators.
             records: Records of its journal.
@@ -113,7 +113,7 @@
         """
         self._identity = identity
         self._zone = nodes.get_zone(identity.node)
-        self._read_document = read_document
+        self._decode_document = decode_document
         self.document: document_module.Document | None = None
         self.registry = registry_module.Registry()
         self.peers = peer_directory_module.PeerDirectory(
@@ -127,7 +127,7 @@
         self._permit_broker = permit_broker.PermitBroker(
             identity.node,
             registry=self.registry,
-            neighbours=self.peers,
+            peers=self.peers,
             gateways=self.gateways,
         )
         self._pause_relay = pause_relay.PauseRelay(identity.node)
@@ -223,7 +223,7 @@
                 return [*self._supervisor.handle_report(event, now)]
             case orders.NoticeArrived(name, born, retry_after_s, is_leaving):
                 if retry_after_s is not None:
-                    self._supervisor.pause_calls(
+                    self._supervisor.record_pause(
                         name, born, now + retry_after_s
                     )
                 return (
@@ -249,7 +249,7 @@
         effects += self._send_all(
             self.gateways.tick(
                 is_fresh=self.is_fresh(now),
-                homed_elsewhere=self.peers.count_gateways(now),
+                other_gateways=self.peers.count_gateways(now),
                 now=now,
             )
         )
@@ -301,9 +301,9 @@
 
         sent, written = self.crashes.tick(
             has_ended,
-            self.gateways.list_homed(now),
+            self.gateways.list_home_gateways(now),
             now,
-            other_home_coordinators=self.peers.list_homes(now),
+            other_home_coordinators=self.peers.list_home_coordinators(now),
         )
         return [*self._send_all(sent), *written]
 
@@ -320,7 +320,7 @@
             addresses=tuple(n.address for n in known.values()),
             check=self.registry.digest,
             is_empty=self._identity.may_bootstrap and not self.voter.cluster,
-            gateways=len(self.gateways.list_homed(now)),
+            gateways=len(self.gateways.list_home_gateways(now)),
             has_traffic=self._supervisor.has_traffic,
             crashes=self.crashes.digest,
         )
@@ -431,7 +431,10 @@
             case limit_messages.PermitRequest():
                 return self._send_all(
                     self._permit_broker.handle_request(
-                        message, sender, is_fresh=self.is_fresh(now), now=now
+                        message,
+                        sender,
+                        has_recent_leader=self.is_fresh(now),
+                        now=now,
                     )
                 )
             case limit_messages.PermitReply(gateway):
@@ -476,7 +479,7 @@
     def _send_pauses(self, now: float) -> list[CoordinatorEffect]:
         return self._send_all(
             self._pause_relay.collect_messages(
-                gateways=self.gateways.list_homed(now),
+                gateways=self.gateways.list_home_gateways(now),
                 coordinators=self.peers.list_alive(now),
                 now=now,
             )
@@ -689,7 +692,8 @@
         )
         self._unreported = {}
         return [
-            interface.Send(n, update) for n in self.gateways.list_homed(now)
+            interface.Send(n, update)
+            for n in self.gateways.list_home_gateways(now)
         ]
 
     def _merge_instances(
@@ -699,7 +703,7 @@
             item.name: self.registry.instances.get(item.name)
             for item in received
         }
-        changed = registry_module.merge_all(self.registry, received, now)
+        changed = registry_module.merge_updates(self.registry, received, now)
         if not changed:
             return []
         for instance in changed:
@@ -715,7 +719,7 @@
         self, update: messages.StallNews, now: float
     ) -> list[CoordinatorEffect]:
         """Forwards stalls that one gateway observed to the other gateways."""
-        own = self.gateways.list_homed(now)
+        own = self.gateways.list_home_gateways(now)
         targets = [node for node in own if node != update.sender]
         if update.sender in own:
             # From a gateway with this home coordinator: the other
@@ -771,7 +775,7 @@
         if self.version == before:
             return []
         update = self._make_update(now)
-        own = self.gateways.list_homed(now)
+        own = self.gateways.list_home_gateways(now)
         self.gateways.record_document_sent(own, now)
         effects: list[CoordinatorEffect] = [
             interface.Send(node, update) for node in own
@@ -797,7 +801,7 @@
             # A voter that restarted without its log may hold an older version
             # than this node.
             return ""
-        match self._read_document(held.content):
+        match self._decode_document(held.content):
             case result.Success(document):
                 self.document = document
                 self._supervisor.services = document.services
--- a/src/hickorylead/roles/entry.py
+++ b/src/hickorylead/roles/entry.py
@@ -99,9 +99,9 @@
             entry=identity.node,
             controls=by_zone,
             table=self._table,
-            book=self._health,
+            health=self._health,
             policy=policy_module.LoadBalancingPolicy(
-                zone=self._zone, table=self._table, book=self._health, rng=rng
+                zone=self._zone, table=self._table, health=self._health, rng=rng
             ),
             guard=self._guard,
         )
@@ -109,7 +109,7 @@
             node=identity.node,
             controls=identity.control_nodes,
             follower=self._follower,
-            histories=self._dispatcher.trails,
+            histories=self._dispatcher.histories,
         )
         # The control process that sent the last replica table of this zone.
         self._holder = ""
@@ -188,7 +188,7 @@
                 return self._check_stopped()
 
     def _tick(self, now: float) -> list[interface.EntryEffect]:
-        effects = _convert_effects(self._follower.poll(now))
+        effects = _convert_effects(self._follower.collect_messages(now))
         own = self._table.zones.get(self._zone)
         effects += _convert_effects(
             self._announcement_receiver.tick(
@@ -235,7 +235,7 @@
             self._reported_digest = self._crashes.digest
             effects += self._send_to_controls(self._find_unreported(now))
         if now >= self._next_resend:
-            self._next_resend = now + crash_tracker_module.RETELL_PERIOD_S
+            self._next_resend = now + crash_tracker_module.FULL_SYNC_PERIOD_S
             effects += self._send_to_controls(
                 self._crashes.make_evidence_update(now)
             )
@@ -312,7 +312,7 @@
                 self._guard.apply_blocks(message, now)
                 return []
             case config_messages.ConfigurationUpdate():
-                self._follower.receive(message, now)
+                self._follower.handle_update(message, now)
                 return []
             case config_messages.ChangeReply():
                 return self._operations.handle_change_reply(
@@ -339,7 +339,7 @@
         if (
             self._stopping
             and not self._stopped
-            and not self._dispatcher.count_open()
+            and not self._dispatcher.count_pending()
         ):
             self._stopped = True
             return [interface.Stopped()]
--- a/src/hickorylead/roles/gateway.py
+++ b/src/hickorylead/roles/gateway.py
@@ -114,7 +114,7 @@
         self,
         identity: Identity,
         *,
-        read_document: Callable[
+        decode_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
         rng: random.Random,
@@ -124,14 +124,14 @@
 
         Args:
             identity: Its identity.
-            read_document: Decodes a complete configuration as operators
+            decode_document: Decodes a complete configuration as operators
                 submit it.
             rng: Source of the random choice among replicas.
             now: Present time.
         """
         self._identity = identity
         self._zone = nodes.get_zone(identity.node)
-        self._read_document = read_document
+        self._decode_document = decode_document
         self._registry = registry_module.Registry()
         self._directory = replica_directory.ReplicaDirectory(self._registry)
         self._health = health.HealthTracker()
@@ -214,7 +214,7 @@
         sends output on each of its streams several times within the gap that
         counts as a stall.
         """
-        if not self._forwarder.count_open():
+        if not self._forwarder.count_pending():
             return IDLE_TICK_S
         due_s = self._forwarder.find_next_wakeup(now) - now
         return min(LONGEST_TICK_S, max(TICK_S, due_s))
@@ -238,9 +238,9 @@
         """Returns the number of replicas that report a rate limit."""
         return self._permits.table.count_named()
 
-    def count_open(self) -> int:
+    def count_pending(self) -> int:
         """Returns the number of pending requests."""
-        return self._forwarder.count_open()
+        return self._forwarder.count_pending()
 
     def reduce(self, event: GatewayEvent, now: float) -> list[GatewayEffect]:
         """Handles one event and returns the effects to carry out."""
@@ -251,7 +251,7 @@
                 return self._receive(sender, message, now)
             case interface.StopRequested():
                 self._stopping = True
-                return [notes.note("stopping", open=self.count_open())]
+                return [notes.note("stopping", open=self.count_pending())]
             case _:
                 effects = [*self._forwarder.handle(event, now)]
                 if self._permits.has_urgent_demand:
@@ -285,7 +285,7 @@
                     self._identity.node, tuple(sorted(new_stalled))
                 )
                 effects.append(interface.Send(home, report))
-            is_idle = self.routes and not self._forwarder.count_open()
+            is_idle = self.routes and not self._forwarder.count_pending()
             self._next_hello = now + (
                 IDLE_HELLO_PERIOD_S if is_idle else HELLO_PERIOD_S
             )
@@ -438,7 +438,7 @@
             self._coordinators[sender] = ""
         match message:
             case messages.InstanceNews(_, received):
-                registry_module.merge_all(self._registry, received, now)
+                registry_module.merge_updates(self._registry, received, now)
             case messages.ZoneLoads(_, loads, is_fresh, gateways):
                 self._apply_loads(loads)
                 self._record_freshness(sender, is_fresh, now)
@@ -488,7 +488,7 @@
             # Delayed, or from a coordinator that is behind: an older version
             # would restore a replaced route or a revoked key.
             return []
-        match self._read_document(update.content):
+        match self._decode_document(update.content):
             case result.Success(document):
                 self.routes = routes_module.RouteTable(document)
                 self._forwarder.document = document
--- a/src/hickorylead/roles/zone_controller.py
+++ b/src/hickorylead/roles/zone_controller.py
@@ -117,7 +117,7 @@
         effects: list[Effect] = []
         state = (
             self._lease.fencing_number,
-            self._registry.changes,
+            self._registry.change_count,
             configuration.version if configuration else -1,
             self._takeover.lost_zones,
         )
@@ -132,7 +132,7 @@
         effects += self._publisher.publish(
             replicas=self._replicas,
             members=self._registry.members,
-            listeners=[
+            recipients=[
                 *sorted(self._registry.entries),
                 *self._list_remote_recipients(now),
             ],
--- a/src/hickorylead/routing/policy.py
+++ b/src/hickorylead/routing/policy.py
@@ -83,7 +83,7 @@
         *,
         zone: str,
         table: table.ReplicaTable,
-        book: health.HealthTracker,
+        health: health.HealthTracker,
         rng: random.Random,
     ) -> None:
         """Makes a policy.
@@ -91,12 +91,12 @@
         Args:
             zone: Zone of the entry.
             table: Replicas that accept requests.
-            book: Health of the replicas, as observed by this entry.
+            health: Health of the replicas, as observed by this entry.
             rng: Random number generator for the draws.
         """
         self._zone = zone
         self._table = table
-        self._health = book
+        self._health = health
         self._rng = rng
 
     def choose(
--- a/src/hickorylead/routing/publisher.py
+++ b/src/hickorylead/routing/publisher.py
@@ -71,7 +71,7 @@
         *,
         replicas: dict[str, messages.Replica],
         members: Mapping[str, registry.Member],
-        listeners: Iterable[str],
+        recipients: Iterable[str],
         fence: int,
         now: float,
     ) -> list[messages.Send]:
@@ -102,7 +102,7 @@
             removed=() if is_new_fence else removed,
             loads=self._pack_loads(members),
         )
-        return [messages.Send(node, update) for node in listeners]
+        return [messages.Send(node, update) for node in recipients]
 
     def make_full_update(
         self, members: Mapping[str, registry.Member]
--- a/src/hickorylead/runtime/admin_api.py
+++ b/src/hickorylead/runtime/admin_api.py
@@ -60,7 +60,7 @@
                 return response
             case result.Success(body):
                 pass
-        match json_codec.read_change(body):
+        match json_codec.decode_change(body):
             case result.Failure(problem):
                 return problems.refuse_input(400, "bad_change", problem)
             case result.Success(change):
@@ -80,7 +80,7 @@
         status = 200
         if not outcome.accepted:
             status = _STATUS_BY_REASON.get(outcome.reason, 422)
-        return _make_json_response(json_codec.dump(outcome), status)
+        return _make_json_response(json_codec.encode(outcome), status)
 
     async def get_configuration(
         self, request: requests.Request
@@ -89,7 +89,7 @@
         if not self._is_operator(request):
             return _refuse_token()
         return _make_json_response(
-            json_codec.dump(self._process.role.configuration)
+            json_codec.encode(self._process.role.configuration)
         )
 
     async def get_status(self, request: requests.Request) -> responses.Response:
@@ -107,7 +107,7 @@
                 "ready": role.is_ready(),
                 "version": role.configuration.version,
                 "preset": role.configuration.preset,
-                "controls": json_codec.dump(effect.statuses),
+                "controls": json_codec.encode(effect.statuses),
             }
         )
 
@@ -126,7 +126,7 @@
                 "unknown_request",
                 f"no entry that replied has a record of {request_id!r}",
             )
-        return _make_json_response(json_codec.dump(reply))
+        return _make_json_response(json_codec.encode(reply))
 
     async def bootstrap(self, request: requests.Request) -> responses.Response:
         """Handles POST /admin/cluster/{cluster}."""
@@ -137,7 +137,7 @@
         self._process.apply(interface.BootstrapRequested(cluster))
         effect = await future
         return _make_json_response(
-            json_codec.dump(effect), 200 if effect.done else 409
+            json_codec.encode(effect), 200 if effect.done else 409
         )
 
     def _is_operator(self, request: requests.Request) -> bool:
--- a/src/hickorylead/runtime/control.py
+++ b/src/hickorylead/runtime/control.py
@@ -82,7 +82,7 @@
         self._peers = peers_module.Peers(
             node=self.node,
             address=f"{settings['address']}:{settings['peer_port']}",
-            known=controls,
+            addresses=controls,
             deliver=self._receive,
             log=self.log,
         )
@@ -172,7 +172,7 @@
 
     async def _post(self, order: orders.Order) -> None:
         kind = type(order).__name__.lower()
-        body = orjson.dumps({"kind": kind, **_dump_order(order)})
+        body = orjson.dumps({"kind": kind, **_encode_order(order)})
         url = f"http://{order.address}/v1/orders"
         try:
             async with self._session.post(url, data=body) as response:
@@ -221,7 +221,7 @@
     return folder.DataFolder(pathlib.Path(path), node)
 
 
-def _dump_order(order: orders.Order) -> dict[str, Any]:
+def _encode_order(order: orders.Order) -> dict[str, Any]:
     from hickorylead.runtime import json_codec
 
-    return json_codec.dump(order)
+    return json_codec.encode(order)
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -114,7 +114,7 @@
         settings: Settings,
         *,
         server_codec: server_codec_module.ServerCodec,
-        read_document: Callable[
+        decode_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
         make_app: Callable[[CoordinatorProcess], Any],
@@ -126,7 +126,7 @@
         Args:
             settings: Its settings.
             server_codec: Encodes and decodes calls to backend servers.
-            read_document: Decodes a complete configuration.
+            decode_document: Decodes a complete configuration.
             make_app: Makes the API for backend servers and operators.
             reload: Loads the settings again.
             log: Log of decisions.
@@ -161,7 +161,7 @@
                 heartbeat_s=settings.heartbeat_s,
                 zones=settings.zones,
             ),
-            read_document=read_document,
+            decode_document=decode_document,
             policy=group_builder_module.StandbyPolicy(),
             records=self._folder.records,
             rng=self._rng,
@@ -175,7 +175,7 @@
         self._peers = peers_module.Peers(
             node=self._node,
             address=address,
-            known={},
+            addresses={},
             deliver=self._receive,
             log=log,
             bind_ip=settings.bind_ip,
--- a/src/hickorylead/runtime/entry.py
+++ b/src/hickorylead/runtime/entry.py
@@ -73,7 +73,7 @@
         self._peers = peers_module.Peers(
             node=self.node,
             address=f"{settings['address']}:{settings['peer_port']}",
-            known=controls,
+            addresses=controls,
             deliver=self._receive,
             log=self.log,
         )
@@ -103,7 +103,7 @@
             ),
         ]
         await process.wait_for_stop(stop)
-        self.log.info("stopping", open=self.role.dispatcher.count_open())
+        self.log.info("stopping", open=self.role.dispatcher.count_pending())
         http.stop_listening()
         self.apply(interface.StopRequested())
         if not tick_task.done():
@@ -125,7 +125,7 @@
         except TimeoutError:
             self.log.warn(
                 "requests aborted at the end of the drain time",
-                open=self.role.dispatcher.count_open(),
+                open=self.role.dispatcher.count_pending(),
             )
 
     def make_request_id(self) -> str:
@@ -168,7 +168,7 @@
                 self._peers.send(node, message)
             case events.StartAttempt():
                 if effect.attempt_number > 1:
-                    self.metrics.count_retry(effect.request.service)
+                    self.metrics.record_retry(effect.request.service)
                 self._backends.start(effect)
             case events.CancelAttempt():
                 self._backends.cancel(effect)
@@ -182,7 +182,7 @@
             case events.Refuse(request_id, problem):
                 response_queue = self._response_queues.get(request_id)
                 if response_queue is not None:
-                    self.metrics.count_refusal(response_queue.service, problem)
+                    self.metrics.record_refusal(response_queue.service, problem)
                 self._complete_request(
                     request_id, problem.verdict, effect, reason=problem.code
                 )
@@ -215,9 +215,9 @@
     ) -> None:
         response_queue = self._response_queues.pop(request_id, None)
         service = response_queue.service if response_queue else ""
-        self.metrics.count_request(service, verdict)
+        self.metrics.record_request(service, verdict)
         if tokens:
-            self.metrics.count_tokens(service, tokens)
+            self.metrics.record_tokens(service, tokens)
         self.log.info(
             "request ended",
             request_id=request_id,
--- a/src/hickorylead/runtime/entry_api.py
+++ b/src/hickorylead/runtime/entry_api.py
@@ -334,7 +334,7 @@
                 return response
             case result.Success(body):
                 pass
-        match json_codec.read_announcement(body):
+        match json_codec.decode_announcement(body):
             case result.Failure(problem):
                 return problems.refuse_input(400, "bad_announcement", problem)
             case result.Success(announcement):
@@ -363,7 +363,7 @@
     ) -> responses.Response:
         """Handles GET /metrics."""
         role, metrics = self._process.role, self._process.metrics
-        metrics.set_open_requests(role.dispatcher.count_open())
+        metrics.set_pending_requests(role.dispatcher.count_pending())
         metrics.set_version(role.configuration.version)
         for zone, table in role.table.zones.items():
             metrics.set_replicas(zone, len(table.replicas))
--- a/src/hickorylead/runtime/forwarding.py
+++ b/src/hickorylead/runtime/forwarding.py
@@ -321,7 +321,7 @@
     async def _send_refusal(
         self, send: Any, refusal: events.Refuse, attempt_id: str
     ) -> None:
-        headers, body = self._header_codec.write_refusal(refusal, attempt_id)
+        headers, body = self._header_codec.encode_refusal(refusal, attempt_id)
         fields = [*headers, (b"content-length", b"%d" % len(body))]
         await send(
             {
--- a/src/hickorylead/runtime/gateway.py
+++ b/src/hickorylead/runtime/gateway.py
@@ -91,7 +91,7 @@
         settings: Settings,
         *,
         header_codec: header_codec_module.HeaderCodec,
-        read_document: Callable[
+        decode_document: Callable[
             [bytes], result.Result[document_module.Document, str]
         ],
         reload: Callable[[], Settings],
@@ -103,7 +103,7 @@
         Args:
             settings: Its settings.
             header_codec: Encodes and decodes headers of callers and replicas.
-            read_document: Decodes a complete configuration.
+            decode_document: Decodes a complete configuration.
             reload: Loads the settings again.
             log: Log of decisions.
             listening_socket: Socket of the port for callers, if it is already
@@ -133,14 +133,14 @@
                 seeds=settings.seeds,
                 retry_limits=settings.retry_limits,
             ),
-            read_document=read_document,
+            decode_document=decode_document,
             rng=self._rng,
             now=now,
         )
         self._peers = peers_module.Peers(
             node=node,
             address=f"{settings.ip}:{settings.peer_port}",
-            known={},
+            addresses={},
             deliver=self._receive,
             log=log,
             bind_ip=settings.bind_ip,
@@ -288,7 +288,7 @@
     def _collect_gauges(self) -> dict[str, float]:
         document = self.role.document
         return {
-            "open_requests": self.role.count_open(),
+            "open_requests": self.role.count_pending(),
             "blocked_contents": self.role.count_blocked_requests(),
             "limited_replicas": self.role.count_rate_limited_replicas(),
             "paused_servers": self.role.count_paused_servers(
--- a/src/hickorylead/runtime/json_codec.py
+++ b/src/hickorylead/runtime/json_codec.py
@@ -95,7 +95,7 @@
 )
 
 
-def read_announcement(
+def decode_announcement(
     data: bytes,
 ) -> result.Result[announcements.Announcement, str]:
     """Returns a backend server's announcement, or what is wrong with it."""
@@ -110,7 +110,7 @@
     raise AssertionError("a result is a success or a failure")
 
 
-def read_change(data: bytes) -> result.Result[changes.Change, str]:
+def decode_change(data: bytes) -> result.Result[changes.Change, str]:
     """Returns an operator's change, or what is wrong with it."""
     match _load(data):
         case result.Failure(problem):
@@ -136,30 +136,30 @@
     return result.Success(changes.Change(change_id, expected, operation))
 
 
-def read_service(value: Any) -> result.Result[model.Service, str]:
+def decode_service(value: Any) -> result.Result[model.Service, str]:
     """Returns the service in a JSON object."""
     return _structure(_STRICT, value, model.Service)
 
 
-def read_preset(value: Any) -> result.Result[model.Preset, str]:
+def decode_preset(value: Any) -> result.Result[model.Preset, str]:
     """Returns the preset in a JSON object."""
     return _structure(_STRICT, value, model.Preset)
 
 
-def read_configuration(
+def decode_configuration(
     value: Any,
 ) -> result.Result[model.Configuration, str]:
     """Returns the configuration in a JSON object."""
     return _structure(_LENIENT, value, model.Configuration)
 
 
-def dump(value: Any) -> Any:
+def encode(value: Any) -> Any:
     """Returns a typed value as JSON objects."""
     return _PLAIN.unstructure(value)
 
 
-def dump_operation(operation: changes.Operation) -> Any:
-    """Returns an operation as the JSON object that `read_change` reads."""
+def encode_operation(operation: changes.Operation) -> Any:
+    """Returns an operation as the JSON object that `decode_change` decodes."""
     kind = _OPERATION_KINDS[type(operation)]
     return {"kind": kind, **_PLAIN.unstructure(operation)}
 
--- a/src/hickorylead/runtime/peers.py
+++ b/src/hickorylead/runtime/peers.py
@@ -102,7 +102,7 @@
         *,
         node: str,
         address: str,
-        known: Mapping[str, str],
+        addresses: Mapping[str, str],
         deliver: Callable[[str, interface.Message], None],
         log: WarningLog,
         bind_ip: str = "",
@@ -112,7 +112,7 @@
         Args:
             node: Name of this process.
             address: `ip:port` on which it receives messages.
-            known: Addresses by node, from the settings.
+            addresses: Addresses by node, from the settings.
             deliver: Called with each message and its sender.
             log: Log for malformed input.
             bind_ip: IP address to listen on and to connect from, if it is not
@@ -121,8 +121,8 @@
         self._bind_ip = bind_ip
         self._node = node
         self._address = address
-        self._addresses = dict(known)
-        self._configured_nodes = frozenset(known)
+        self._addresses = dict(addresses)
+        self._configured_nodes = frozenset(addresses)
         self._deliver = deliver
         self._log = log
         self._links: dict[str, _Link] = {}
--- a/src/hickorylead/telemetry/decisions.py
+++ b/src/hickorylead/telemetry/decisions.py
@@ -34,7 +34,7 @@
         *,
         common: dict[str, str],
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        read_wall_time: Callable[[], float],
         level: str = "debug",
         descriptor: int | None = None,
     ) -> None:
@@ -43,14 +43,15 @@
         Args:
             common: Fields of every line.
             clock: Returns the current time, for the budget.
-            wall: Returns the wall-clock time in Unix seconds, for the lines.
+            read_wall_time: Returns the wall-clock time in Unix seconds, for the
+                lines.
             level: Lowest level that is written.
             descriptor: File descriptor to write to; by default that of standard
                 output.
         """
         self._common = common
         self._clock = clock
-        self._read_wall_time = wall
+        self._read_wall_time = read_wall_time
         self._min_level = list(_SHARES).index(level)
         self._descriptor = (
             sys.stdout.fileno() if descriptor is None else descriptor
--- a/src/hickorylead/telemetry/metrics.py
+++ b/src/hickorylead/telemetry/metrics.py
@@ -52,21 +52,21 @@
             "hickorylead_replicas", "Replicas known to this entry, by zone."
         )
 
-    def count_request(
+    def record_request(
         self, service: str, verdict: verdict_module.Verdict
     ) -> None:
         """Counts a request that has its final response."""
         self._requests.inc({"service": service, "verdict": verdict.value})
 
-    def count_refusal(self, service: str, problem: model.Problem) -> None:
+    def record_refusal(self, service: str, problem: model.Problem) -> None:
         """Counts a request that was refused."""
         self._refusals.inc({"service": service, "reason": problem.code})
 
-    def count_retry(self, service: str) -> None:
+    def record_retry(self, service: str) -> None:
         """Counts an attempt after the first one."""
         self._retries.inc({"service": service})
 
-    def count_tokens(self, service: str, tokens: int) -> None:
+    def record_tokens(self, service: str, tokens: int) -> None:
         """Counts the tokens of a response."""
         self._tokens.add({"service": service}, tokens)
 
@@ -76,7 +76,7 @@
         """Sets how many requests are queued."""
         self._queued.set({"service": service, "urgency": str(urgency)}, count)
 
-    def set_open_requests(self, count: int) -> None:
+    def set_pending_requests(self, count: int) -> None:
         """Sets how many requests have no final response yet."""
         self._pending.set({}, count)
 
--- a/src/hickorylead_standins/batch.py
+++ b/src/hickorylead_standins/batch.py
@@ -97,7 +97,7 @@
             speed: Its performance parameters.
         """
         self.speed = speed
-        self.slowness = 1.0
+        self.slowdown_factor = 1.0
         self.events: list[tuple[str, bool]] = []
         self._queue: list[tuple[int, int, Work]] = []
         self._sequence = 0
@@ -148,7 +148,7 @@
         if not self._running:
             return 0.0
         step_s = self.speed.step_s + prefill_tokens * self.speed.prefill_s
-        return step_s * self.slowness
+        return step_s * self.slowdown_factor
 
     def end_step(self) -> list[Frame]:
         """Produces and returns one token of each stream in the batch."""
--- a/src/hickorylead_standins/engines.py
+++ b/src/hickorylead_standins/engines.py
@@ -186,7 +186,7 @@
 
     async def slow_down(self, request: web.Request) -> web.Response:
         """Handles POST /debug/slow/{factor}."""
-        self.batch.slowness = float(request.match_info["factor"])
+        self.batch.slowdown_factor = float(request.match_info["factor"])
         return web.json_response({})
 
     async def _load(self, weights: str) -> None:
--- a/tests/steps/allocator_steps.py
+++ b/tests/steps/allocator_steps.py
@@ -14,10 +14,10 @@
 class GrantingCoordinator:
     """A coordinator that grants permits for one limit."""
 
-    def __init__(self, known, *, is_fresh=True):
+    def __init__(self, known, *, has_recent_leader=True):
         self.subject = allocator.Allocator()
         self.known = known
-        self.is_fresh = is_fresh
+        self.has_recent_leader = has_recent_leader
 
     def request_permits(self, wanted, now, *, is_needed=False, returned=0):
         """Requests permits; returns the reply."""
@@ -25,7 +25,7 @@
         return self.subject.allocate(
             messages.Ask(limit, wanted, is_needed, returned),
             self.known,
-            is_fresh=self.is_fresh,
+            has_recent_leader=self.has_recent_leader,
             now=now,
         )
 
@@ -77,7 +77,8 @@
 )
 def _(context, seconds):
     coordinators = [
-        GrantingCoordinator(context.known, is_fresh=False) for _ in range(2)
+        GrantingCoordinator(context.known, has_recent_leader=False)
+        for _ in range(2)
     ]
     request_all(context, coordinators, seconds)
 
--- a/tests/steps/crash_fault_steps.py
+++ b/tests/steps/crash_fault_steps.py
@@ -163,13 +163,13 @@
 def _(context):
     traffic = context.traffic
     context.reported = []
-    report = traffic.simulation._report
+    handle_probe = traffic.simulation._handle_probe
 
-    def record_report(node, request):
+    def record_probe(node, request):
         context.reported.append(request.name)
-        report(node, request)
+        handle_probe(node, request)
 
-    traffic.simulation._report = record_report
+    traffic.simulation._handle_probe = record_probe
     traffic.run(3.0)
     gateway = sorted(traffic.simulation.gateways)[0]
     submission = traffic.submit(gateway, b"is reset")
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -89,7 +89,7 @@
     simulation = context.simulation
     replace_until_acknowledged(simulation, simulation.coordinator_names[0], 5)
     revoked = fleet_simulation.make_document(5, workspaces=())
-    content = fleet_simulation.write_content(revoked)
+    content = fleet_simulation.encode_content(revoked)
     simulation.apply(
         simulation.coordinator_names[1],
         events.ReplaceRequested("again", 5, content),
@@ -115,7 +115,7 @@
         key = (f"key{number}",)
         workspace = fleet_simulation.document.Workspace("crew", key, 1)
         found = fleet_simulation.make_document(11, workspaces=(workspace,))
-        content = fleet_simulation.write_content(found)
+        content = fleet_simulation.encode_content(found)
         token = f"race{number}"
         simulation.apply(node, events.ReplaceRequested(token, 11, content))
 
@@ -133,7 +133,7 @@
     for role in simulation.coordinators.values():
         assert role.voter.configuration.content == first
     for gateway in simulation.gateways.values():
-        found = fleet_simulation.read_content(first).unwrap()
+        found = fleet_simulation.decode_content(first).unwrap()
         assert gateway.document == found
 
 
@@ -327,23 +327,23 @@
 
 def pick_member(simulation, *, rank=1, zone="z1"):
     """Returns a member of a serving group of a zone."""
-    head = next(s for s in simulation.list_open() if s.zone == zone)
+    head = next(s for s in simulation.list_open_heads() if s.zone == zone)
     return simulation.servers[head.members[rank]], head
 
 
 @when("a member of a group crashes")
 def _(context):
     simulation = context.simulation
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     member, _ = pick_member(simulation)
     simulation.crash(member.name)
-    assert len(simulation.list_open()) < context.before
+    assert len(simulation.list_open_heads()) < context.before
 
 
 @when("a member of a group crashes and a gateway reports the stall at once")
 def _(context):
     simulation = context.simulation
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     member, head = pick_member(simulation)
     simulation.crash(member.name)
     simulation.run(0.2)
@@ -360,7 +360,7 @@
 @when("a member of a group crashes and its head names it in a refusal")
 def _(context):
     simulation = context.simulation
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     member, head = pick_member(simulation)
     simulation.crash(member.name)
     simulation.run(0.2)
@@ -380,7 +380,7 @@
 def _(context, limit):
     simulation = context.simulation
     simulation.run_until(
-        lambda: len(simulation.list_open()) >= context.before, limit
+        lambda: len(simulation.list_open_heads()) >= context.before, limit
     )
 
 
@@ -405,7 +405,7 @@
 @then("its group still serves after 5 seconds")
 def _(context):
     assert context.head.member.state == instances.GROUP_OPEN
-    assert context.head in context.simulation.list_open()
+    assert context.head in context.simulation.list_open_heads()
 
 
 @when("a member of a group reports that it is draining")
@@ -427,7 +427,7 @@
 @when("the coordinator of a zone is killed and then a member there crashes")
 def _(context):
     simulation = context.simulation
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     simulation.kill(simulation.coordinator_names[0])
     simulation.run(2.0)
     member, _ = pick_member(simulation, zone="z1")
@@ -437,7 +437,7 @@
 @when("the coordinator of a zone restarts and then a member there crashes")
 def _(context):
     simulation = context.simulation
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     simulation.kill(simulation.coordinator_names[0])
     simulation.start(simulation.coordinator_names[0])
     simulation.run(4.0)
@@ -448,7 +448,7 @@
 @when("all coordinators and gateways lose power and restart")
 def _(context):
     simulation = context.simulation
-    context.heads = {s.name for s in simulation.list_open()}
+    context.heads = {s.name for s in simulation.list_open_heads()}
     gateways = list(simulation.gateways)
     for node in (*simulation.coordinator_names, *gateways):
         simulation.kill(node)
@@ -475,10 +475,10 @@
 @then("every group serves all the time for 5 seconds")
 def _(context):
     simulation = context.simulation
-    before = {s.name: s.member.group for s in simulation.list_open()}
+    before = {s.name: s.member.group for s in simulation.list_open_heads()}
     for _ in range(100):
         simulation.run(0.05)
-        now = {s.name: s.member.group for s in simulation.list_open()}
+        now = {s.name: s.member.group for s in simulation.list_open_heads()}
         assert before.items() <= now.items(), (before, now)
     assert not any(
         isinstance(note, notes.Note)
@@ -869,7 +869,7 @@
     simulation.run(5.0)
     simulation.on_send = context.busy.record
     for _ in range(5):
-        simulation.crash(simulation.list_open()[0].name)
+        simulation.crash(simulation.list_open_heads()[0].name)
         simulation.run(1.0)
 
 
@@ -905,7 +905,7 @@
 def _(context):
     simulation = context.simulation
     name = next(iter(simulation.gateways))
-    head = simulation.list_open()[0].name
+    head = simulation.list_open_heads()[0].name
     loads = (messages.HeadLoad(head, 3),)
     hello = messages.GatewayHello(name, 1, 1, 0, is_home=True, loads=loads)
     simulation.apply(
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -433,7 +433,7 @@
 def _(context):
     found = context.harness.list_effects(context.name, events.CancelAttempt)
     assert [at for at, _ in found] == [context.harness.now]
-    assert context.harness.forwarder.count_open() == 0
+    assert context.harness.forwarder.count_pending() == 0
 
 
 @when("a non-idempotent call gets no response before its deadline")
@@ -582,7 +582,7 @@
 
 @then('it is refused because "{reason}"')
 def _(context, reason):
-    problems = document.check_document(context.document)
+    problems = document.validate_document(context.document)
     assert any(reason in problem for problem in problems), problems
 
 
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -20,7 +20,9 @@
 def set_limit(context, limit, count=None):
     """Makes open heads name a limit from now on."""
     traffic = context.traffic
-    heads = sorted({server.name for server in traffic.simulation.list_open()})
+    heads = sorted(
+        {server.name for server in traffic.simulation.list_open_heads()}
+    )
     used = [h for h in heads if traffic.list_arrivals(h)]
     for head in used[:count]:
         traffic.limits[head] = limit
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -38,7 +38,7 @@
     return peers.Peers(
         node="z/vm1/entry",
         address="127.0.0.1:1",
-        known={"z/vm1/control": address},
+        addresses={"z/vm1/control": address},
         deliver=lambda sender, message: None,
         log=mock.Mock(),
     )
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -50,7 +50,7 @@
 )
 def _(context, pause, seconds):
     traffic = context.traffic
-    heads = {server.name for server in traffic.simulation.list_open()}
+    heads = {server.name for server in traffic.simulation.list_open_heads()}
     traffic.pauses = dict.fromkeys(heads, pause)
     context.started_at = traffic.simulation.now
     notice_schedules.send(traffic, seconds)
@@ -596,7 +596,7 @@
     context.node = min(
         n for n in simulation.gateways if n.startswith(f"{zone}/")
     )
-    context.before = len(simulation.list_open())
+    context.before = len(simulation.list_open_heads())
     traffic.leaving.add(head)
     while (context.node, head) not in traffic.leave_notice_times:
         traffic.submit(context.node, b"asked %d" % len(traffic.submissions))
@@ -647,7 +647,7 @@
     simulation = context.traffic.simulation
 
     def is_repaired():
-        heads = [server.name for server in simulation.list_open()]
+        heads = [server.name for server in simulation.list_open_heads()]
         return len(heads) >= context.before and context.head not in heads
 
     simulation.run_until(is_repaired, limit_s)
@@ -681,14 +681,14 @@
 def _(context, pause):
     simulation = context.traffic.simulation
     head = simulation.servers[notice_schedules.list_used(context.traffic)[0]]
-    context.head, context.before = head.name, len(simulation.list_open())
+    context.head, context.before = head.name, len(simulation.list_open_heads())
     for node in simulation.coordinator_names:
         simulation.apply(
             node, orders.NoticeArrived(head.name, head.born, pause)
         )
     context.accepted_before = head.accepted
     context.calls = []
-    simulation.on_call = lambda node, call: context.calls.append(call)
+    simulation.on_server_call = lambda node, call: context.calls.append(call)
     simulation.crash(head.members[1])
 
 
@@ -735,5 +735,5 @@
 def _(context, limit_s):
     simulation = context.traffic.simulation
     simulation.run_until(
-        lambda: len(simulation.list_open()) >= context.before, limit_s
+        lambda: len(simulation.list_open_heads()) >= context.before, limit_s
     )
--- a/tests/steps/placement_steps.py
+++ b/tests/steps/placement_steps.py
@@ -360,7 +360,7 @@
         len([s for s in history.steps if s.code == "attempt"])
         for a in context.answers
         if (
-            history := simulation.roles[a.entry].dispatcher.trails.get(
+            history := simulation.roles[a.entry].dispatcher.histories.get(
                 a.request.request_id
             )
         )
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -159,7 +159,7 @@
     log = decisions.DecisionLog(
         common={},
         clock=lambda: now[0],
-        wall=lambda: 0.0,
+        read_wall_time=lambda: 0.0,
         descriptor=writer,
     )
     for number in range(count):
@@ -317,7 +317,7 @@
     restarted = coordinator.CoordinatorProcess(
         process.settings,
         server_codec=process._server_codec,
-        read_document=documents.decode_compressed,
+        decode_document=documents.decode_compressed,
         make_app=process._make_app,
         reload=process._reload,
         log=process._log,
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -138,7 +138,7 @@
     ended = sum(a.verdict == Verdict.RAN for a in context.answers)
     assert ended >= 0.97 * len(context.answers), ended
     histories = [
-        context.simulation.roles[a.entry].dispatcher.trails.get(
+        context.simulation.roles[a.entry].dispatcher.histories.get(
             a.request.request_id
         )
         for a in context.answers
@@ -309,13 +309,13 @@
         if s.state.zone == zone and s.state.group and s.state.rank == 0
     ]
     context.slow, context.fast = leading
-    context.slow.batch.slowness = factor
+    context.slow.batch.slowdown_factor = factor
     run_traffic(context, seconds)
 
 
 @when("it is as fast as the others for {seconds:g} s")
 def _(context, seconds):
-    context.slow.batch.slowness = 1.0
+    context.slow.batch.slowdown_factor = 1.0
     run_traffic(context, seconds)
 
 
--- a/tests/steps/safeguard_steps.py
+++ b/tests/steps/safeguard_steps.py
@@ -247,7 +247,7 @@
     ),
     "restarted grantors abstain": (
         (zone_lease.ZoneLease, "__init__", init_lease_without_wait),
-        (zone_lease, "LONGEST_ORDER_S", 0.0),
+        (zone_lease, "MAX_ORDER_DELAY_S", 0.0),
     ),
     "orders wait for the end of the old lease": (
         zone_lease.ZoneLease,
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -12,7 +12,7 @@
 
 def list_open_in_zone(simulation, zone):
     """Returns the heads that serve in a zone."""
-    return [s for s in simulation.list_open() if s.zone == zone]
+    return [s for s in simulation.list_open_heads() if s.zone == zone]
 
 
 @given("three coordinators with {count:d} servers in each zone")
@@ -54,7 +54,7 @@
             delay = simulation.now - partitioned_at
             context.orders_by_others.append((delay, node, effect))
 
-    simulation.on_call = record_order
+    simulation.on_server_call = record_order
     for head in heads[:2]:
         simulation.crash(head.members[1])
         simulation.run(5.0)
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -118,7 +118,7 @@
             case "pause server":
                 simulation.pause_server(vm, duration_s)
             case "straggler":
-                simulation.servers[vm].batch.slowness = 8.0
+                simulation.servers[vm].batch.slowdown_factor = 8.0
                 simulation.call_later(
                     duration_s, lambda: self._end_slowness(vm)
                 )
@@ -190,7 +190,7 @@
             self.simulation.restart_server(vm)
 
     def _end_slowness(self, vm: str) -> None:
-        self.simulation.servers[vm].batch.slowness = 1.0
+        self.simulation.servers[vm].batch.slowdown_factor = 1.0
 
     def _begin_leave(self, vm: str, duration_s: float) -> None:
         server = self.simulation.servers[vm]
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -109,14 +109,14 @@
     )
 
 
-def write_content(found: document.Document) -> bytes:
-    """Returns content for `read_content`, in a format of the tests only."""
+def encode_content(found: document.Document) -> bytes:
+    """Returns content for `decode_content`, in a format of the tests only."""
     names = json.dumps([w.keys for w in found.workspaces])
     return document.compress_content(f"{found.version} {names}".encode())
 
 
-def read_content(packed: bytes) -> result.Result[document.Document, str]:
-    """Returns the configuration that `write_content` has encoded."""
+def decode_content(packed: bytes) -> result.Result[document.Document, str]:
+    """Returns the configuration that `encode_content` has encoded."""
     version, _, names = (
         document.decompress_content(packed).decode().partition(" ")
     )
@@ -172,7 +172,7 @@
         # Called with sender, target and message for each message sent.
         self.on_send = None
         # Called with coordinator and effect for each order and probe.
-        self.on_call = None
+        self.on_server_call = None
         self._start_count = 0
         # Start times and names of gateways.
         self.starts: list[tuple[float, str]] = []
@@ -214,7 +214,7 @@
                 heartbeat_s=HEARTBEAT_S,
                 zones=ZONES,
             ),
-            read_document=read_content,
+            decode_document=decode_content,
             policy=group_builder_module.StandbyPolicy(),
             records=list(disk.records),
             rng=random.Random(f"{node}{self.rng.random()}"),
@@ -234,7 +234,7 @@
         self.known_senders.pop(node, None)
         self.gateways[node] = gateway.Gateway(
             gateway.Identity(node, self._start_count, self.seeds),
-            read_document=read_content,
+            decode_document=decode_content,
             rng=random.Random(f"{node}{self.rng.random()}"),
             now=self.now,
         )
@@ -356,7 +356,9 @@
             case orders.SendOrder():
                 self.call_at(LATENCY_S, lambda: self._send_order(node, effect))
             case orders.RequestReport():
-                self.call_at(LATENCY_S, lambda: self._report(node, effect))
+                self.call_at(
+                    LATENCY_S, lambda: self._handle_probe(node, effect)
+                )
             case _ if node in self.gateways:
                 self.gateway_effects.append((self.now, node, effect))
             case _:
@@ -368,8 +370,8 @@
         self.apply(target, arrived)
 
     def _send_order(self, node: str, effect: orders.SendOrder) -> None:
-        if self.on_call is not None:
-            self.on_call(node, effect)
+        if self.on_server_call is not None:
+            self.on_server_call(node, effect)
         server = self.servers.get(effect.name)
         if server is None or frozenset((node, effect.name)) in self.partitions:
             no_response = orders.OrderAnswered(effect.name, effect.order, 0)
@@ -394,9 +396,9 @@
         response = orders.OrderAnswered(effect.name, effect.order, status)
         self.call_at(LATENCY_S, lambda: self.apply(node, response))
 
-    def _report(self, node: str, probe: orders.RequestReport) -> None:
-        if self.on_call is not None:
-            self.on_call(node, probe)
+    def _handle_probe(self, node: str, probe: orders.RequestReport) -> None:
+        if self.on_server_call is not None:
+            self.on_server_call(node, probe)
         server = self.servers.get(probe.name)
         is_reachable = (
             server is not None
@@ -446,7 +448,7 @@
     def replace(self, node: str, version: int, token: str = "") -> str:
         """Sends a configuration to a coordinator; returns the token."""
         token = token or f"t{next(self._sequence)}"
-        content = write_content(make_document(version))
+        content = encode_content(make_document(version))
         self.apply(node, events.ReplaceRequested(token, version, content))
         return token
 
@@ -463,7 +465,7 @@
                 return node
         return ""
 
-    def list_open(self) -> list[simulated_servers.SimulatedServer]:
+    def list_open_heads(self) -> list[simulated_servers.SimulatedServer]:
         """Returns the heads that serve, with all members alive."""
         return [
             server
@@ -495,5 +497,5 @@
         self.run(2.0)
         token = self.replace(self.coordinator_names[0], version)
         self.run_until(lambda: self.outcomes.get(token) is True, 5.0)
-        self.run_until(lambda: len(self.list_open()) >= 2 * len(ZONES))
+        self.run_until(lambda: len(self.list_open_heads()) >= 2 * len(ZONES))
         self.run(1.0)
--- a/tests/support/limit_schedules.py
+++ b/tests/support/limit_schedules.py
@@ -87,7 +87,7 @@
     traffic.submitted_at = {}
     send(traffic, 3.0, rng)
     limit = rng.choice([0.5, 1.0, 2.0, 4.0])
-    heads = sorted({server.name for server in simulation.list_open()})
+    heads = sorted({server.name for server in simulation.list_open_heads()})
     for head in heads[: rng.choice([1, 2, len(heads)])]:
         traffic.limits[head] = limit
     since = simulation.now + SETTLE_S
--- a/tests/support/notice_schedules.py
+++ b/tests/support/notice_schedules.py
@@ -42,7 +42,9 @@
 
 def list_used(traffic: traffic_simulation.TrafficSimulation) -> list[str]:
     """Returns the open heads that got requests, sorted by name."""
-    heads = sorted({server.name for server in traffic.simulation.list_open()})
+    heads = sorted(
+        {server.name for server in traffic.simulation.list_open_heads()}
+    )
     return [head for head in heads if traffic.list_arrivals(head)]
 
 
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -85,7 +85,7 @@
         log = decisions.DecisionLog(
             common={"vm": "day"},
             clock=clock.read_boottime,
-            wall=clock.read_wall,
+            read_wall_time=clock.read_wall,
             descriptor=self._log,
         )
         self.controls = [f"127.0.7.{n}:{CONTROL_PORT}" for n in (1, 2, 3)]
@@ -108,7 +108,7 @@
                     max_lost_disks=1,
                 ),
                 server_codec=servers.PlatformServerCodec(),
-                read_document=documents.decode_compressed,
+                decode_document=documents.decode_compressed,
                 make_app=control.make_app,
                 reload=lambda: None,
                 log=log,
@@ -128,7 +128,7 @@
                 grace_s=3.0,
             ),
             header_codec=headers.PlatformHeaderCodec(),
-            read_document=documents.decode_compressed,
+            decode_document=documents.decode_compressed,
             reload=lambda: None,
             log=log,
         )
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -239,9 +239,9 @@
             return
         self.active_nodes.append(node)
         for effect in role.reduce(event, self.now):
-            self._carry_out(node, effect)
+            self._apply_effect(node, effect)
 
-    def _carry_out(self, node: str, effect: Any) -> None:
+    def _apply_effect(self, node: str, effect: Any) -> None:
         match effect:
             case interface.Send(to, message):
                 self.send(node, to, message)
