--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -35,6 +35,7 @@
         start_count: How often it has been started.
         stopped_by_harness: Whether a signal of the harness ends it.
         last_fault_at: When its last fault began or ended.
+        sources: Folder of its program; None for a copy of this build.
     """
 
     name: str
@@ -47,6 +48,7 @@
     start_count: int = 0
     stopped_by_harness: bool = False
     last_fault_at: float = 0.0
+    sources: pathlib.Path | None = None
 
     @property
     def ip(self) -> str:
@@ -100,7 +102,7 @@
         """Starts the process."""
         self.start_count += 1
         self.stopped_by_harness = False
-        sources = self.folder.parent / "src"
+        sources = self.sources or self.folder.parent / "src"
         if not sources.exists():
             # Restarts must run the same program, also if somebody edits it.
             shutil.copytree(ROOT / "src", sources)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -14,17 +14,19 @@
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
-from soak import world  # noqa: E402
+from soak import cluster as cluster_module  # noqa: E402
 
 
 async def run_seed(seed: int, seconds: float, folder: pathlib.Path, slot: int):
     """Runs one seed; an error of the harness counts as a violation."""
     try:
-        return await world.Cluster(seed, folder, slot).run(seconds)
+        return await cluster_module.Cluster(seed, folder, slot).run(seconds)
     except Exception as error:  # noqa: BLE001 - reported with its place
         text = "".join(traceback.format_exception(error, limit=-3))
         empty = collections.Counter()
-        return world.Result(seed, [f"harness: {text}"], empty, empty, empty)
+        return cluster_module.Result(
+            seed, [f"harness: {text}"], empty, empty, empty
+        )
 
 
 def print_result(result) -> None:
--- a/tests/steps/soak_steps.py
+++ b/tests/steps/soak_steps.py
@@ -7,7 +7,7 @@
 import tempfile
 
 from behave import then
-from soak import world
+from soak import cluster as cluster_module
 
 # Separate address block, so that a soak run by hand can run during the tests.
 SLOT = 9
@@ -18,7 +18,7 @@
 )
 def _(_, seed, seconds):
     with tempfile.TemporaryDirectory() as folder:
-        cluster = world.Cluster(seed, pathlib.Path(folder), SLOT)
+        cluster = cluster_module.Cluster(seed, pathlib.Path(folder), SLOT)
         result = asyncio.run(cluster.run(float(seconds)))
     assert not result.violations, "\n".join(result.violations)
     assert sum(result.faults.values()) > 3, result.faults
