--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -2,9 +2,9 @@
 
     python bench/upgrade.py --other SOURCES [--seed N] [--slot N] [--keep PATH]
 
-SOURCES is the `src` folder of the other build. Each play has callers, one
+SOURCES is the `src` folder of the other build. Each scenario has callers, one
 change of the configuration, one kill of a coordinator and one of a gateway, by
-the same seeded schedule. In the plays on data folders, coordinators of one
+the same seeded schedule. In the scenarios on data folders, coordinators of one
 build write them and coordinators of the other build start on them. The exit
 code is 1 if an invariant broke, a version did not come into force, a process
 reported an error or something that it could not read, or a request was lost
@@ -48,7 +48,7 @@
 MALFORMED = re.compile("bad_frame|bad_message|.*_unreadable")
 # Title; builds (other, this) of three coordinators and three gateways; build of
 # the coordinators that take over the data folders.
-PLAYS = (
+SCENARIOS = (
     ("coordinators other, gateways this", "ooottt", ""),
     ("coordinators this, gateways other", "tttooo", ""),
     ("all of this build", "tttttt", ""),
@@ -69,18 +69,18 @@
 
 
 class Fleet(cluster.Cluster):
-    """The processes and callers of one play."""
+    """The processes and callers of one scenario."""
 
     def __init__(
         self,
         seed: int,
         folder: pathlib.Path,
         slot: int,
-        play: tuple[str, str, str],
+        scenario: tuple[str, str, str],
         builds: dict[str, pathlib.Path],
     ) -> None:
         super().__init__(seed, folder, slot)
-        self.title, letters, self._successor = play
+        self.title, letters, self._successor = scenario
         self._folder, self._builds = folder, builds
         placed = (*self.coordinators, *self.gateways)
         for node, letter in zip(placed, letters, strict=True):
@@ -183,7 +183,7 @@
     # The report.
 
     def print_report(self) -> bool:
-        """Prints the observations; returns whether the play passed."""
+        """Prints the observations; returns whether the scenario passed."""
         sent, lost = collections.Counter[str](), 0
         causes = collections.Counter[str]()
         for outcome in self.checker.outcomes:
@@ -207,7 +207,8 @@
         lines, warnings = self._read_logs()
         violations = self.checker.violations
         print(
-            f"  violations: {len(violations)}, malformed or errors: {len(lines)}"
+            f"  violations: {len(violations)}, "
+            f"malformed or errors: {len(lines)}"
         )
         for line in (*violations[:8], *lines[:8]):
             print(f"    {line[:500]}")
@@ -265,8 +266,8 @@
     return target
 
 
-def run_play(fleet: Fleet) -> bool:
-    """Runs one play and prints its report; returns whether it passed."""
+def run_scenario(fleet: Fleet) -> bool:
+    """Runs one scenario and prints its report; returns whether it passed."""
     began = time.monotonic()
     try:
         asyncio.run(fleet.run(0.0))
@@ -279,7 +280,7 @@
 
 
 def main() -> int:
-    """Runs all plays; returns the exit code."""
+    """Runs all scenarios; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--other", type=pathlib.Path, required=True)
     parser.add_argument("--seed", type=int, default=1)
@@ -297,11 +298,11 @@
             "t": copy_build(ROOT / "src", base / "this"),
             "o": copy_build(options.other, base / "other"),
         }
-        for number, play in enumerate(PLAYS):
-            folder = base / f"play{number}"
-            fleet = Fleet(options.seed, folder, options.slot, play, builds)
-            passed.append(run_play(fleet))
-    print(f"plays: {len(passed)}, failed: {passed.count(False)}")
+        for number, scenario in enumerate(SCENARIOS):
+            folder = base / f"scenario{number}"
+            fleet = Fleet(options.seed, folder, options.slot, scenario, builds)
+            passed.append(run_scenario(fleet))
+    print(f"scenarios: {len(passed)}, failed: {passed.count(False)}")
     return 0 if all(passed) else 1
 
 
--- a/tests/claims/claims.feature
+++ b/tests/claims/claims.feature
@@ -1,6 +1,6 @@
 Feature: Requests that may run at most once
 
-  Scenario: The same key sent to nine entries at once runs once
+  Scenario: A request sent to nine entries at once with the same key runs once
     A caller's retries reach all nine entries at the same moment. One entry
     claims the key and runs the request; the others respond that it may be
     running, or with the first response. It must not run twice.
@@ -13,7 +13,7 @@
     The response is lost on its way to the caller, who sends the request again
     in another zone. The claim holders stored the response, and it is replayed.
     Given a deployment in three zones
-    When a key has run through "buda-hall"
+    When a request with a key has run through "buda-hall"
     And the same key is sent through "csepel-hall"
     And 2 s pass
     Then the resend gets the first response, marked as replayed
@@ -59,19 +59,19 @@
     A request runs. Two of the three claim holders restart and lose the claim.
     The key is older than their restart, so they must not grant it again.
     Given a deployment in three zones
-    When a key has run through "buda-hall"
+    When a request with a key has run through "buda-hall"
     And every control process outside "buda-hall" restarts
     And 3 s pass
     And the same key is sent through "csepel-hall"
     And 2 s pass
     Then the servers ran it once
 
-  Scenario: Clocks that differ by minutes do not run a key twice
+  Scenario: A request runs once although clocks differ by minutes
     The clock of a claim holder's VM jumps by five minutes, more than the
     permitted skew. That holder abstains, and the others, a majority, decide.
     Given a deployment in three zones
     When the clocks of all control processes of "pest-hall" jump by 300 s
-    And a key has run through "buda-hall"
+    And a request with a key has run through "buda-hall"
     And the same key is sent through "csepel-hall"
     And 2 s pass
     Then the servers ran it once
@@ -96,7 +96,7 @@
     A key is used again with another body. Replaying the first response would
     give the caller the response to another request.
     Given a deployment in three zones
-    When a key has run through "buda-hall"
+    When a request with a key has run through "buda-hall"
     And the same key is sent with another body
     And 2 s pass
     Then the call is refused as not_run with code "key_reused"
--- a/tests/crashes/crash_guard.feature
+++ b/tests/crashes/crash_guard.feature
@@ -32,8 +32,8 @@
   Scenario: A lost run is reported twice, and again to another home coordinator
     Given a gateway with 3 replicas of each kind
     When a call that may run once is reset
-    Then it is reported to a home at once, once more 1.5 seconds later, no more
-    And it is reported to another home at once
+    Then it is reported to its home coordinator at once and again 1.5 seconds later, and not after that
+    And it is reported to another home coordinator at once
 
   Scenario: Submissions of a request that lost a run are sent one at a time
     In parallel, each could crash a server before the first loss is recorded.
--- a/tests/crashes/crash_history.feature
+++ b/tests/crashes/crash_history.feature
@@ -23,21 +23,21 @@
     Given a crash history
     When 9 runs of a request are lost at servers that keep running
     Then it is not blocked
-    And after 31 seconds nothing of it is kept
+    And after 31 seconds no lost run is stored and no request is blocked
 
   Scenario: A block expires
     Given a crash history
     When 3 servers crash while running a request
     Then it is blocked for 900 seconds
-    And after 901 seconds nothing of it is kept
+    And after 901 seconds no lost run is stored and no request is blocked
 
   Scenario: A block is not prolonged by nodes that report it again
     A coordinator restarts repeatedly from its disk, where the ages are those of
     the time of saving.
     Given a crash history
     When 3 servers crash while running a request
-    And a node reports all of it each 100 seconds with the ages it saved
-    Then after 901 seconds nothing of it is kept
+    And a node reports the saved lost runs every 100 seconds, each with its saved age
+    Then after 901 seconds no lost run is stored and no request is blocked
 
   Scenario: Nodes that received reports in different orders converge
     Given 3 crash histories with parts of 40 lost runs, in random order
--- a/tests/fleet/coordination.feature
+++ b/tests/fleet/coordination.feature
@@ -34,7 +34,7 @@
     report, within 2 seconds no gateway may send new requests to the server.
     Given three coordinators with gateways
     When a member of a group reports that it is draining
-    Then no gateway offers its group after 0.1 seconds
+    Then no gateway uses its group for requests after 0.1 seconds
 
   Scenario: The coordinator of a zone is lost; another one repairs its groups
     Groups of a zone are planned by its own coordinator. The coordinator is
@@ -53,8 +53,9 @@
 
   Scenario: A restart of all coordinators does not disband working groups
     All coordinators are killed at once and restart within half a second. They
-    know no servers, and heartbeats arrive one by one over the next second. A
-    group must not count as broken while some members' heartbeats are missing.
+    start without records of servers, and heartbeats arrive one by one over the
+    next second. A group must not count as broken while some members'
+    heartbeats are missing.
     Given three coordinators with gateways
     When all coordinators are killed and started again
     Then every group serves all the time for 5 seconds
@@ -89,7 +90,7 @@
     draining. No gateway may send it requests 2 seconds later.
     Given three coordinators with gateways
     When a gateway's home coordinator is killed, then a member elsewhere drains
-    Then no gateway offers the group with it after 2 seconds
+    Then no gateway uses the group with it for requests after 2 seconds
 
   Scenario: Gateways of a partitioned home coordinator get new configurations
     The home coordinator of a gateway is partitioned from the other
@@ -100,7 +101,7 @@
     When a coordinator is partitioned and the others acknowledge version 4
     Then every gateway holds version 4 within 3 seconds
 
-  Scenario: Coordinators that know each other only from a third one connect
+  Scenario: Coordinators that are listed to each other only by a third one connect
     The seeds name three of six coordinators. From those the others get each
     other's names and addresses. Messages can be sent to a name only after one
     arrived from that node, so the first hellos must go to the addresses.
@@ -116,13 +117,13 @@
     Then it receives messages from all six coordinators within 1 second
 
   Scenario: A coordinator that is no gateway's home coordinator limits loads
-    Loads from the weight store are not limited until callers are served. Only
-    the home coordinator of a gateway gets its requests reported. A second
+    Loads from the weight store are not limited until callers are served. A
+    gateway reports its requests only to its home coordinator. A second
     coordinator of the zone, the owner of half of its domains, would otherwise
     go on loading without a limit.
     Given six coordinators with 24 gateways
     When a gateway has requests
-    Then all six coordinators limit loads within 1 second, to a sixth each
+    Then all six coordinators limit loads within 1 second, each to a sixth of the limit
 
   Scenario: A gateway replaces a home coordinator that is partitioned
     A home coordinator is partitioned from the other coordinators, but not from
@@ -131,7 +132,7 @@
     detect the partition, no gateway may send requests to that server.
     Given three coordinators with gateways
     When a home coordinator is partitioned for 3 s, then a member elsewhere drains
-    Then no gateway offers the group with it after 2 seconds
+    Then no gateway uses the group with it for requests after 2 seconds
 
   Scenario: Updates to gateways do not grow with the number of coordinators
     If each of six coordinators sent every update to each gateway, a quiet
--- a/tests/fleet/loads.feature
+++ b/tests/fleet/loads.feature
@@ -7,7 +7,7 @@
     callers would find fewer replicas for most of a minute.
     Given a store that serves 7 loads at once, shared by 3 coordinators
     And each has 16 servers that serve and lack the other model
-    When one of them gets an empty server each 3 seconds for a minute
+    When one of them gets an empty server every 3 seconds for a minute
     Then the empty servers hold their model within 17 seconds each
 
   Scenario: Concurrent loads stay within what the store serves at full speed
@@ -21,7 +21,7 @@
     serving server lacks the other model; with the loads for these three in
     progress it must wait.
     Given a store that serves 7 loads at once, shared by 3 coordinators
-    Then loads start for the second group, the first, the standby, no other
+    Then loads start in this order: for the second group, the first group, the standby; no others start
 
   Scenario: A load order without a response is sent again
     The order to stage a model is lost. Without a second order the server would
@@ -42,7 +42,7 @@
 
   Scenario: A server that is lost while it loads makes room for others
     Three servers load, as many as the store serves at full speed, and two of
-    them are lost. They stay known for a while. If they counted, no other server
+    them are lost. They stay listed for a while. If they counted, no other server
     would load in that time, and empty servers would stay idle.
     Given a planner of five empty servers and a store that serves 3 loads at once
     When three of them load and two of these are lost
--- a/tests/fleet/planner.feature
+++ b/tests/fleet/planner.feature
@@ -25,7 +25,7 @@
   Scenario: A late order to a previous incarnation of a server violates no invariant
     The server restarted under the same id and has accepted as many orders
     since.
-    Then the schedule 976 with rebirths breaks no promise
+    Then the schedule 976 with server restarts violates no invariant
 
   Scenario: Joins without the number of accepted orders violate an invariant
     The same schedules, with joins that carry no number of accepted orders. A
@@ -36,9 +36,9 @@
   Scenario: Heads that open before their members are ready violate an invariant
     The same schedules, with heads opened before the members reported that they
     are ready.
-    Then the schedules violate an invariant if heads open unchecked
+    Then the schedules violate an invariant if heads open before their members are ready
 
-  Scenario Outline: A domain holds one group of each model before any other
+  Scenario Outline: A domain with enough servers gets one group of each model first
     Given a domain of <alive> servers in which <scarce> is scarce
     Then its layout has <large> large and <small> small groups
 
@@ -56,7 +56,7 @@
     A domain lost both its groups. The small model is scarcer, but its second
     server must load for 12 s. Its first server has the large model staged,
     which three others have in memory: these four can serve at once.
-    Given a domain with 3 servers warm with large, 1 warm with small, 2 empty
+    Given a domain with 3 servers with the large model in memory, 1 with the small one and 2 empty servers
     Then a group of the large model is formed at once
 
   Scenario: A planner that restarts never uses a group's name again
@@ -76,7 +76,7 @@
     A domain lost its large group. Two servers are empty and must load for it;
     four others have the small model in memory. These must not stay idle for the
     16 s of the load just because the large group is missing first.
-    Given a domain with one small group, 4 free servers warm with small, 2 empty
+    Given a domain with one small group, 4 free servers with the small model in memory and 2 empty servers
     Then two more small groups are formed, and the empty ones load large
 
   Scenario: A missing group takes the servers of several others
@@ -87,14 +87,14 @@
     Then two small groups are retired
     And once they have ended a large group is formed
 
-  Scenario: Free servers are kept for the servers that will join them
+  Scenario: Free servers are reserved for a group that other servers will complete
     A small group is retired for the missing large one and still has requests
     for some seconds. A third server is free. If it were used for something else
     meanwhile, the large group would be missing again.
     Given a domain where a small group is retired to complete a large one
     Then its free servers are left free
 
-  Scenario: Loads in progress are known after a restart
+  Scenario: A restarted planner counts loads in progress
     A planner ordered three empty servers to load and restarted. It does not
     list these loads and orders them again; the servers refuse, as they have
     accepted an order. If it ordered them once more with another number, each
--- a/tests/fleet/lives.feature
+++ b/tests/fleet/server_restarts.feature
@@ -7,13 +7,13 @@
     models it would be treated as warm.
     Given a server that sent 50 heartbeats and had a model in memory
     When it restarts and sends its first heartbeat
-    Then the new incarnation is known, free and with nothing in memory
+    Then the new incarnation is registered, free and with nothing in memory
 
   Scenario Outline: Late updates of the previous incarnation change nothing
     Given a server that sent 50 heartbeats and had a model in memory
     When it restarts and sends its first heartbeat
     And then <update> of the previous incarnation arrives late
-    Then the new incarnation is known, free and with nothing in memory
+    Then the new incarnation is registered, free and with nothing in memory
 
     Examples:
       | update               |
@@ -41,7 +41,7 @@
     Given a server that sent 50 heartbeats and had a model in memory
     When an update reports that it is leaving, with heartbeat <number>
     And its heartbeat 52 reports that it is ready
-    Then it is known as leaving, with heartbeat 52
+    Then it is registered as leaving, with heartbeat 52
 
     Examples:
       | number |
--- a/tests/fleet/takeover.feature
+++ b/tests/fleet/takeover.feature
@@ -9,16 +9,16 @@
     And no other coordinator sent orders in its zone more than 3 s after the partition
 
   Scenario: A reported number of orders is used only with the reported group
-    Combined with the group known before, it would let a join break up the new
-    group.
-    Given a planner that knows 3 free servers
+    Combined with the previously reported group, it would let a join break up
+    the new group.
+    Given a planner with reports of 3 free servers
     When the servers report that another planner joined them to a group
     Then the planner joins none of them
     And it joins them once they report that they have left the group
 
   Scenario: A late heartbeat from before a join does not make its servers free
     It arrives after the response to the join.
-    Given a planner that knows 3 free servers
+    Given a planner with reports of 3 free servers
     When it joins them and then receives older heartbeats and new reports
     Then the planner joins none of them
 
--- a/tests/forwarding/forwarder.feature
+++ b/tests/forwarding/forwarder.feature
@@ -11,7 +11,7 @@
   Scenario: A call that a replica refused as not run is sent to another one
     Given a gateway with 3 plain replicas
     When a non-idempotent call is refused as not run and then completed
-    Then it was sent twice to different replicas and ends with status 200
+    Then it was sent to two replicas, once each, and ends with status 200
 
   Scenario: A call that every replica refused gets a retry time
     All replicas are full and state that they did not run the alert, so the
@@ -32,17 +32,17 @@
     this one is due. The attempt id tells them apart.
     Given a gateway with 3 plain replicas
     When an idempotent call gets the response to another request
-    Then it was sent twice to different replicas and ends with status 200
+    Then it was sent to two replicas, once each, and ends with status 200
 
-  Scenario: A success that is not signed is treated as a failure
+  Scenario: A successful response without a signature is treated as a failure
     Given a gateway with 3 plain replicas
-    When an idempotent call gets a success that is not signed
-    Then it was sent twice to different replicas and ends with status 200
+    When an idempotent call gets a successful response without a signature
+    Then it was sent to two replicas, once each, and ends with status 200
 
   Scenario: An idempotent call without a response is sent to another replica
     Given a gateway with 3 plain replicas
     When an idempotent call gets no response for 0.3 seconds
-    Then it was sent twice to different replicas
+    Then it was sent to two replicas, once each
 
   Scenario: A stream is resumed on another replica without gap or repeat
     A replica is lost in the middle of an event, when the caller has
@@ -181,13 +181,13 @@
     A fabric domain fails, and streams at all gateways stop within seconds. Each
     gateway has saved retries; together they must stay within the limit that the
     operators set for all gateways.
-    Given 71 gateways that share 0.2 retries a request and 284 extra
+    Given 71 gateways that share 0.2 retries a request and a burst of 284 retries
     When 1776 requests arrive at them unevenly and all fail
     Then they retry at most 639 times, and at least 300 times
 
-  Scenario: Gateways that do not know their number yet retry little
-    Gateways that have all just started do not know how many there are.
-    Given 71 new gateways that share 0.2 retries and 284 extra
+  Scenario: Gateways without the number of gateways retry little
+    Gateways that have all just started do not have that number yet.
+    Given 71 new gateways that share 0.2 retries a request and a burst of 284 retries
     When 1776 requests arrive at them unevenly and all fail
     Then they retry at most 639 times, and at least 300 times
 
--- a/tests/limits/permits.feature
+++ b/tests/limits/permits.feature
@@ -71,11 +71,11 @@
     Then the call is not sent
     And the gateway requests 1 permit that a request needs
 
-  Scenario: One of nine gateways that gets no replies sends its own part
+  Scenario: One of nine gateways that gets no replies sends its own share
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 4.5 a second
-    And calls arrive for 6 seconds, and no reply
-    Then it sends 2 to 3 of them, from 1.5 seconds on
+    And calls arrive for 6 seconds and no coordinator replies
+    Then it sends 2 to 3 of them, none before 1.5 seconds have passed
 
   Scenario: Reports of limits merge in any order
     Reports arrive late and twice, and from nodes with older state. The last
--- a/tests/platform/faults.feature
+++ b/tests/platform/faults.feature
@@ -25,7 +25,7 @@
     buffer, then drops lines and reports how many; nothing waits for the reader.
     Then 5000 lines into a pipe that nobody reads are written or counted
 
-  Scenario: A request head that arrives too slowly is ended after a time limit
+  Scenario: A connection whose request head arrives too slowly is closed
     A caller opens a connection and sends half a head. Without a limit it would
     occupy a descriptor forever.
     Then half a head gets a response with status 408 after the time limit
--- a/tests/platform/formats.feature
+++ b/tests/platform/formats.feature
@@ -6,7 +6,7 @@
 
   Scenario: A process with a faulty settings file ends with exit code 2
     Given a platform settings file for a gateway with three faults
-    Then the gateway's process ends with exit code 2 and one line
+    Then the gateway's process prints one line and ends with exit code 2
 
   Scenario: Unknown fields are ignored
     Given a platform settings file with an unknown field
--- a/tests/requests/requests.feature
+++ b/tests/requests/requests.feature
@@ -49,7 +49,7 @@
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When one domain of each zone fails under traffic
     Then extra attempts are below 10 in 100 requests
-    And no request is refused because of servers that it crashed or that failed
+    And no request is refused as blocked or because replicas failed
 
   Scenario: An entry stops gracefully
     An entry is asked to stop. It refuses new requests as not run, with a retry
@@ -143,7 +143,7 @@
     And 10 s pass
     Then all entries refuse it as not_run with code "ends_servers"
 
-  Scenario: An entry sends a server no requests during the pause it asked for
+  Scenario: An entry sends a server no requests during a pause that the server requested
     Given a deployment in three zones
     When one of the replicas refuses requests with a pause of 3 s, for 10 s
     And 20 s pass
--- a/tests/sessions/sessions.feature
+++ b/tests/sessions/sessions.feature
@@ -10,7 +10,7 @@
     expected version, and switches presets. Callers request streamed and
     complete responses and send a work order twice.
     When the session "normal operation" is recorded
-    Then its record equals the golden file "ordinary_day.txt"
+    Then its record equals the golden file "normal_operation.txt"
 
   Scenario: A member of a replica dies during a stream
     In simulated time: the stream continues on another replica, the group is
@@ -23,4 +23,4 @@
     there are refused without effect, and once the partition is healed all
     entries follow the same configuration version.
     When the session "isolated zone" is recorded
-    Then its record equals the golden file "cut_zone.txt"
+    Then its record equals the golden file "isolated_zone.txt"
--- a/tests/settings/settings.feature
+++ b/tests/settings/settings.feature
@@ -26,7 +26,7 @@
       | HICKORYLEAD_ENTRY   |
       | HICKORYLEAD_OPERATOR_TOKEN |
 
-  Scenario: An entry that does not respond has an exit code of its own
+  Scenario: The command has a separate exit code for an entry that does not respond
     When "status --entry http://127.0.0.1:9 --token some-token" is run without environment variables
     Then the exit code is 5 and the output contains each of
       | text            |
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -66,7 +66,7 @@
     """Bytes between some nodes and all others are blocked.
 
     Attributes:
-        nodes: The nodes that are cut off.
+        nodes: The nodes that are partitioned from all others.
         duration_s: How long the partition lasts.
         direction: Blocked direction, seen from the nodes: `in`, `out` or
             `both`.
--- a/tests/steps/allocator_steps.py
+++ b/tests/steps/allocator_steps.py
@@ -42,7 +42,7 @@
         context.now += STEP_S
 
 
-@given("a limit of {limit:g} a second that has just been named")
+@given("a limit of {limit:g} a second that was just reported")
 def _(context, limit):
     context.now = 100.0
     context.limit = limit
@@ -84,8 +84,8 @@
 
 
 @when(
-    "gateways request all they can get, and one needs one each {interval_s:g} "
-    "seconds"
+    "gateways request all they can get, and one needs one every "
+    "{interval_s:g} seconds"
 )
 def _(context, interval_s):
     context.needed_count = context.needed_granted = context.others_granted = 0
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -47,7 +47,7 @@
     assert Verdict.NOT_RUN not in verdicts, [a.code for a in context.answers]
 
 
-@when('a key has run through "{zone}"')
+@when('a request with a key has run through "{zone}"')
 def _(context, zone):
     first = send(context, find_entry(context, zone))
     context.simulation.run(2)
--- a/tests/steps/consensus_steps.py
+++ b/tests/steps/consensus_steps.py
@@ -177,10 +177,10 @@
     simulation = context.simulation
     context.old = operator_actions.find_leader(simulation)
     context.term = simulation.roles[context.old].voter.term
-    cut = next(v for v in simulation.voters if v != context.old)
+    partitioned = next(v for v in simulation.voters if v != context.old)
     for other in simulation.controls:
-        if other != cut:
-            simulation.partition(cut, other)
+        if other != partitioned:
+            simulation.partition(partitioned, other)
     simulation.run(seconds)
     simulation.heal()
     simulation.run(10)
--- a/tests/steps/crash_guard_steps.py
+++ b/tests/steps/crash_guard_steps.py
@@ -11,7 +11,7 @@
 from hickorylead.forwarding import events, model, refusals
 from hickorylead.verdict import Verdict
 
-HOME = "z1/core1/coordinator"
+HOME_COORDINATOR = "z1/core1/coordinator"
 CRASHING_BODY = b"ends its server"
 REQUEST_HASH = request_hash.hash_request(
     "crew", (b"POST", b"/x/", CRASHING_BODY)
@@ -33,11 +33,13 @@
     )
 
 
-def list_reported(harness, home=HOME):
+def list_reported(harness, home_coordinator=HOME_COORDINATOR):
     """Returns the lost runs that are reported to a home coordinator now."""
     return [
         crash
-        for _, update in harness.guard.collect_messages(home, harness.now)
+        for _, update in harness.guard.collect_messages(
+            home_coordinator, harness.now
+        )
         for crash in update.crashes
     ]
 
@@ -147,7 +149,10 @@
 # Retention of lost runs.
 
 
-@then("it is reported to a home at once, once more 1.5 seconds later, no more")
+@then(
+    "it is reported to its home coordinator at once and again 1.5 seconds "
+    "later, and not after that"
+)
 def _(context):
     harness = context.harness
     assert len(list_reported(harness)) == 1
@@ -159,7 +164,7 @@
     assert list_reported(harness) == []
 
 
-@then("it is reported to another home at once")
+@then("it is reported to another home coordinator at once")
 def _(context):
     assert len(list_reported(context.harness, "z2/core1/coordinator")) == 1
     assert list_reported(context.harness, "") == []
@@ -209,7 +214,7 @@
     """Applies a block of the request, as sent by a coordinator."""
     blocked = messages.Block(REQUEST_HASH, int(seconds * 1000))
     harness.guard.apply_blocks(
-        messages.BlockNews(HOME, (blocked,)), harness.now
+        messages.BlockNews(HOME_COORDINATOR, (blocked,)), harness.now
     )
 
 
--- a/tests/steps/crash_history_steps.py
+++ b/tests/steps/crash_history_steps.py
@@ -63,7 +63,8 @@
 
 
 @when(
-    "a node reports all of it each {period_s:d} seconds with the ages it saved"
+    "a node reports the saved lost runs every {period_s:d} seconds, each with "
+    "its saved age"
 )
 def _(context, period_s):
     saved = context.history.list_crashes(context.now)
@@ -105,7 +106,9 @@
     assert until - context.now == seconds, until - context.now
 
 
-@then("after {seconds:g} seconds nothing of it is kept")
+@then(
+    "after {seconds:g} seconds no lost run is stored and no request is blocked"
+)
 def _(context, seconds):
     context.history.prune(NOW + seconds)
     assert context.history.list_crashes(NOW + seconds) == ()
--- a/tests/steps/crash_steps.py
+++ b/tests/steps/crash_steps.py
@@ -55,7 +55,7 @@
     ]
 
 
-@given("gateways with {count:d} replicas' servers and callers")
+@given("gateways and {count:d} servers with callers")
 def _(context, count):
     simulation = fleet_simulation.FleetSimulation(servers_per_zone=count // 3)
     simulation.bootstrap()
@@ -66,7 +66,7 @@
 
 
 @when(
-    "a caller sends a request each {interval_s:g} seconds that crashes its "
+    "a caller sends a request every {interval_s:g} seconds that crashes its "
     "replica"
 )
 def _(context, interval_s):
@@ -167,7 +167,10 @@
     traffic.run(1.0)
 
 
-@then("every gateway serves the same request from {delay:g} seconds after that")
+@then(
+    "every gateway serves the same request from {delay:g} seconds after these "
+    "losses"
+)
 def _(context, delay):
     traffic = context.traffic
     gateways = sorted(traffic.simulation.gateways)
@@ -184,7 +187,7 @@
     assert all(s.status == 200 for s in late), late
 
 
-@when("a busy head crashes each {interval_s:g} seconds, {count:d} times")
+@when("a busy head crashes every {interval_s:g} seconds, {count:d} times")
 def _(context, interval_s, count):
     traffic = context.traffic
     for _ in range(count):
@@ -223,7 +226,7 @@
     assert len(lost) > 5, lost
 
 
-@then("no node blocks anything")
+@then("no node blocks a request")
 def _(context):
     simulation = context.traffic.simulation
     for role in simulation.coordinators.values():
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -416,7 +416,7 @@
     simulation.send_heartbeat(member)
 
 
-@then("no gateway offers its group after {limit:g} seconds")
+@then("no gateway uses its group for requests after {limit:g} seconds")
 def _(context, limit):
     simulation = context.simulation
     simulation.run(limit)
@@ -531,7 +531,7 @@
     assert opened > count, opened
 
 
-@then("the schedule {seed:d} with rebirths breaks no promise")
+@then("the schedule {seed:d} with server restarts violates no invariant")
 def _(_, seed):
     planning.run_schedules(seed, 1, server_restarts=True)
 
@@ -563,7 +563,10 @@
         assert violates_invariant()
 
 
-@then("the schedules violate an invariant if heads open unchecked")
+@then(
+    "the schedules violate an invariant if heads open before their members are "
+    "ready"
+)
 def _(context):
     with mock.patch.object(groups, "is_complete", lambda *_: True):
         assert violates_invariant()
@@ -592,7 +595,10 @@
     assert found == (large, small), found
 
 
-@given("a domain with 3 servers warm with large, 1 warm with small, 2 empty")
+@given(
+    "a domain with 3 servers with the large model in memory, 1 with the small "
+    "one and 2 empty servers"
+)
 def _(context):
     models = (
         fleet_simulation.document.ModelProfile(
@@ -794,7 +800,7 @@
     simulation.send_heartbeat(member)
 
 
-@then("no gateway offers the group with it after {limit:g} seconds")
+@then("no gateway uses the group with it for requests after {limit:g} seconds")
 def _(context, limit):
     simulation = context.simulation
     simulation.run(limit)
@@ -915,7 +921,8 @@
 
 
 @then(
-    "all six coordinators limit loads within {limit:g} second, to a sixth each"
+    "all six coordinators limit loads within {limit:g} second, each to a sixth "
+    "of the limit"
 )
 def _(context, limit):
     simulation = context.simulation
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -66,7 +66,7 @@
     harness.respond(context.name)
 
 
-@then("it was sent twice to different replicas and ends with status 200")
+@then("it was sent to two replicas, once each, and ends with status 200")
 def _(context):
     harness = context.harness
     if not harness.list_effects(context.name, events.FinishResponse):
@@ -77,7 +77,7 @@
     assert harness.list_effects(context.name, events.FinishResponse)
 
 
-@then("it was sent twice to different replicas")
+@then("it was sent to two replicas, once each")
 def _(context):
     assert_two_replicas(context)
 
@@ -134,7 +134,7 @@
     )
 
 
-@when("an idempotent call gets a success that is not signed")
+@when("an idempotent call gets a successful response without a signature")
 def _(context):
     harness = context.harness
     context.name = harness.send_request("notices")
@@ -586,7 +586,10 @@
     assert any(reason in problem for problem in problems), problems
 
 
-@given("71 gateways that share {ratio:g} retries a request and {extra:g} extra")
+@given(
+    "71 gateways that share {ratio:g} retries a request and a burst of "
+    "{extra:g} retries"
+)
 def _(context, ratio, extra):
     make_budgets(context, ratio, extra)
     for shared in context.shared:
@@ -596,7 +599,10 @@
             shared.get_budget("model").deposit()
 
 
-@given("71 new gateways that share {ratio:g} retries and {extra:g} extra")
+@given(
+    "71 new gateways that share {ratio:g} retries a request and a burst of "
+    "{extra:g} retries"
+)
 def _(context, ratio, extra):
     make_budgets(context, ratio, extra)
 
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -55,7 +55,7 @@
     )
 
 
-@given("{count:d} gateways with {servers:d} replicas' servers and callers")
+@given("{count:d} gateways and {servers:d} servers with callers")
 def _(context, count, servers):
     simulation = fleet_simulation.FleetSimulation(
         servers_per_zone=servers // 3, gateways_per_zone=count // 3
@@ -239,8 +239,8 @@
 
 
 @then(
-    "from {late_s:g} seconds after that neither gets over {most:d} requests "
-    "in {window_s:g} seconds"
+    "from {late_s:g} seconds after they name it neither gets over {most:d} "
+    "requests in {window_s:g} seconds"
 )
 def _(context, late_s, most, window_s):
     assert window_s == limit_schedules.WINDOW_S
@@ -253,7 +253,8 @@
 
 
 @then(
-    "{which} ever gets more than it accepts, from {late_s:g} seconds after that"
+    "{which} gets more than it accepts from {late_s:g} seconds after the limit "
+    "is named"
 )
 def _(context, which, late_s):
     since = context.named_at + late_s
@@ -265,11 +266,14 @@
         assert found <= most, (head, found, most)
 
 
-@then("it never gets more than it accepts, from {late_s:g} seconds after that")
+@then(
+    "it gets no more than it accepts from {late_s:g} seconds after the limit "
+    "is named"
+)
 def _(context, late_s):
     context.execute_steps(
-        f"Then none ever gets more than it accepts, from {late_s:g} seconds "
-        "after that"
+        f"Then none gets more than it accepts from {late_s:g} seconds "
+        "after the limit is named"
     )
 
 
@@ -333,8 +337,8 @@
 
 
 @then(
-    "from {late_s:g} seconds after that it gets over {per_s:g} requests "
-    "a second"
+    "from {late_s:g} seconds after it stops naming the limit it gets over "
+    "{per_s:g} requests a second"
 )
 def _(context, late_s, per_s):
     since = context.limits_ended_at + late_s
@@ -373,7 +377,10 @@
     assert late <= 0.1 * len(delays), (late, len(delays))
 
 
-@then("random schedules {first:d} to {last:d} of faults keep the limit")
+@then(
+    "gateways keep the limit in the random fault schedules {first:d} to "
+    "{last:d}"
+)
 def _(context, first, last):
     for seed in range(first, last + 1):
         found = limit_schedules.run_schedule(seed)
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -59,7 +59,7 @@
     ]
 
 
-@when("one of them gets an empty server each 3 seconds for a minute")
+@when("one of them gets an empty server every 3 seconds for a minute")
 def _(context):
     store = WeightStore(7)
     budgets = [loads.LoadBudget() for _ in range(3)]
@@ -137,7 +137,10 @@
     return len(budget.grant())
 
 
-@then("loads start for the second group, the first, the standby, no other")
+@then(
+    "loads start in this order: for the second group, the first group, the "
+    "standby; no others start"
+)
 def _(context):
     budget = loads.LoadBudget()
     in_progress = loads.LoadsInProgress(0, 0)
@@ -251,7 +254,10 @@
     }
 
 
-@given("a domain with one small group, 4 free servers warm with small, 2 empty")
+@given(
+    "a domain with one small group, 4 free servers with the small model in "
+    "memory and 2 empty servers"
+)
 def _(context):
     context.subject = make_planner()
     empty = [make_server("e0"), make_server("e1")]
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -1,4 +1,4 @@
-"""Steps about servers that ask for a pause or announce that they leave."""
+"""Steps about servers that request a pause or announce that they leave."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @when(
-    "two heads refuse requests and ask for {pause:g} seconds, "
+    "two heads refuse requests and request a pause of {pause:g} seconds, "
     "for {seconds:g} seconds"
 )
 def _(context, pause, seconds):
@@ -35,7 +35,8 @@
 
 
 @then(
-    "no gateway sends over {most:d} requests in a pause that it was asked for"
+    "no gateway sends over {most:d} requests during a pause that was requested "
+    "of it"
 )
 def _(context, most):
     assert most == notice_schedules.MAX_IN_PAUSE
@@ -45,7 +46,7 @@
 
 
 @when(
-    "all heads refuse requests and ask for {pause:g} seconds, "
+    "all heads refuse requests and request a pause of {pause:g} seconds, "
     "for {seconds:g} seconds"
 )
 def _(context, pause, seconds):
@@ -56,7 +57,10 @@
     notice_schedules.send(traffic, seconds)
 
 
-@when("two heads refuse requests without a time, for {seconds:g} seconds")
+@when(
+    "two heads refuse requests without naming a retry time, "
+    "for {seconds:g} seconds"
+)
 def _(context, seconds):
     traffic = context.traffic
     context.heads = notice_schedules.list_used(traffic)[:2]
@@ -83,7 +87,7 @@
 
 
 def list_new_submissions(context):
-    """Returns the submissions since servers asked for a pause."""
+    """Returns the submissions since servers requested a pause."""
     return [
         submission
         for submission in context.traffic.submissions.values()
@@ -116,7 +120,7 @@
 
 @then(
     "each of them gets over {per_s:g} requests a second from {late_s:g} "
-    "seconds after that"
+    "seconds after its refusals end"
 )
 def _(context, per_s, late_s):
     since = context.pauses_ended_at + late_s
@@ -127,14 +131,20 @@
         assert found > per_s * seconds, (head, found, seconds)
 
 
-@when("{which} refuses requests of one gateway and asks for {pause:g} seconds")
+@when(
+    "{which} refuses requests of one gateway and requests a pause of {pause:g} "
+    "seconds"
+)
 def _(context, which, pause):
     refuse_one_gateway(
         context, notice_schedules.list_used(context.traffic)[:1], pause
     )
 
 
-@when("all heads refuse requests of one gateway and ask for {pause:g} seconds")
+@when(
+    "all heads refuse requests of one gateway and request a pause of {pause:g} "
+    "seconds"
+)
 def _(context, pause):
     refuse_one_gateway(
         context, notice_schedules.list_used(context.traffic), pause
@@ -179,7 +189,10 @@
     assert len(found) > per_s * seconds, (len(found), seconds)
 
 
-@then("the other gateways send it nothing from {late_s:g} seconds after that")
+@then(
+    "the other gateways send it nothing from {late_s:g} seconds after its "
+    "refusal"
+)
 def _(context, late_s):
     since = context.traffic.refusals[0].at + late_s
     found = list_gateways(context, since, context.ends_at)
@@ -244,7 +257,10 @@
     assert names.count(context.first) >= 10, names
 
 
-@when("two heads refuse requests and ask for {pause:g} seconds while {fault}")
+@when(
+    "two heads refuse requests and request a pause of {pause:g} seconds while "
+    "{fault}"
+)
 def _(context, pause, fault):
     traffic = context.traffic
     heads = notice_schedules.list_used(traffic)[:2]
@@ -256,8 +272,8 @@
 
 
 @then(
-    "no gateway sends over {most:d} requests in a pause that it was asked for "
-    "since"
+    "no gateway sends over {most:d} requests during a pause that was requested "
+    "of it since it started"
 )
 def _(context, most):
     traffic = context.traffic
@@ -274,7 +290,9 @@
     assert notice_schedules.find_max_in_pause(traffic) <= most
 
 
-@then("random schedules {first:d} to {last:d} of faults keep pauses")
+@then(
+    "gateways keep pauses in the random fault schedules {first:d} to {last:d}"
+)
 def _(context, first, last):
     for seed in range(first, last + 1):
         found = notice_schedules.run_schedule(seed)
@@ -299,7 +317,10 @@
     return name
 
 
-@when("a replica asks for {pause:g} seconds and the others can't be reached")
+@when(
+    "a replica requests a pause of {pause:g} seconds and the others can't be "
+    "reached"
+)
 def _(context, pause):
     harness = context.harness
     name = refuse_request(context)
@@ -328,7 +349,7 @@
     ]
 
 
-@when("the replica asks for a pause of {pause:g} seconds and a call arrives")
+@when("the replica requests a pause of {pause:g} seconds and a call arrives")
 def _(context, pause):
     refuse_request(context, attrs.evolve(PAUSE_HEAD, retry_after_s=pause))
     context.name = context.harness.send_request("notices")
@@ -341,7 +362,10 @@
     assert len(context.harness.list_attempts(context.name)) == 1
 
 
-@when("the replica asks for {pause:g} seconds and then for {later:g} seconds")
+@when(
+    "the replica requests a pause of {pause:g} seconds and then one of "
+    "{later:g} seconds"
+)
 def _(context, pause, later):
     harness = context.harness
     second = harness.send_request("notices")
@@ -351,7 +375,7 @@
     harness.send_head(second, head)
 
 
-@when("a response to another request asks for a pause of {pause:g} seconds")
+@when("a response to another request requests a pause of {pause:g} seconds")
 def _(context, pause):
     harness = context.harness
     name = harness.send_request("notices")
@@ -372,7 +396,10 @@
     )
 
 
-@when("the replica asks for {pause:g} seconds and restarts under its id")
+@when(
+    "the replica requests a pause of {pause:g} seconds and restarts under "
+    "its id"
+)
 def _(context, pause):
     assert pause == PAUSE_HEAD.retry_after_s
     restart_replica(context)
@@ -396,8 +423,8 @@
 
 
 @when(
-    "the replica's next incarnation asks for {pause:g} seconds and its "
-    "previous one for less"
+    "the replica's next incarnation requests a pause of {pause:g} seconds and "
+    "its previous one a shorter one"
 )
 def _(context, pause):
     assert pause == PAUSE_HEAD.retry_after_s
@@ -421,7 +448,7 @@
 
 
 @then(
-    "{servers:d} servers that ask for a pause leave {kept:d} notices of each "
+    "{servers:d} servers that request a pause leave {kept:d} notices of each "
     "kind"
 )
 def _(context, servers, kept):
@@ -613,13 +640,13 @@
 def _(context, fault):
     simulation = context.traffic.simulation
     node = min(simulation.gateways)
-    home = simulation.gateways[node]._home
+    home_coordinator = simulation.gateways[node]._home
     match fault:
         case "that gateway's home coordinator is stopped":
             announce_leaving_to_one_gateway(context)
-            simulation.kill(home)
+            simulation.kill(home_coordinator)
         case "that gateway's first message is lost":
-            simulation.partition(node, home)
+            simulation.partition(node, home_coordinator)
             announce_leaving_to_one_gateway(context)
             context.traffic.run(0.3)
             simulation.heal()
@@ -634,7 +661,7 @@
     assert context.node == node
 
 
-@then("no gateway offers that head after {late_s:g} seconds")
+@then("no gateway uses that head for requests after {late_s:g} seconds")
 def _(context, late_s):
     context.traffic.run(late_s)
     for name, gateway in context.traffic.simulation.gateways.items():
@@ -676,7 +703,8 @@
 
 
 @when(
-    "a head asks all coordinators for {pause:g} seconds and a member of it dies"
+    "a head requests a pause of {pause:g} seconds from all coordinators and a "
+    "member of its group dies"
 )
 def _(context, pause):
     simulation = context.traffic.simulation
@@ -731,7 +759,7 @@
     assert not context.role.registry.instances[context.head].silent
 
 
-@then("as many groups serve as with it within {limit_s:g} seconds")
+@then("as many groups serve as before the pause within {limit_s:g} seconds")
 def _(context, limit_s):
     simulation = context.traffic.simulation
     simulation.run_until(
--- a/tests/steps/notice_store_steps.py
+++ b/tests/steps/notice_store_steps.py
@@ -18,7 +18,10 @@
     return context.store.is_likely_to_refuse(REPLICA, now, may_probe=may_probe)
 
 
-@given("a server that refuses {count:d} requests in a row without a time")
+@given(
+    "a server that refuses {count:d} requests in a row without naming a retry "
+    "time"
+)
 def _(context, count):
     context.store = notice_store.NoticeStore()
     context.now = 10.0
@@ -79,7 +82,9 @@
     assert not is_likely_to_refuse(context, now + duration + 0.01)
 
 
-@given("a server that asked another gateway for a pause of {pause:g} seconds")
+@given(
+    "a server that requested a pause of {pause:g} seconds from another gateway"
+)
 def _(context, pause):
     context.store = notice_store.NoticeStore()
     context.now = 10.0
@@ -133,7 +138,10 @@
     context.responded_at = now
 
 
-@given("a server that refused requests of another gateway without a time")
+@given(
+    "a server that refused requests of another gateway without naming a retry "
+    "time"
+)
 def _(context):
     context.store = notice_store.NoticeStore()
     context.now = 10.0
@@ -152,7 +160,8 @@
 
 
 @given(
-    "that server then asked the other gateway for a pause of {pause:g} seconds"
+    "that server then requested a pause of {pause:g} seconds from the other "
+    "gateway"
 )
 def _(context, pause):
     reported = messages.Pause(REPLICA.name, REPLICA.born, round(1000 * pause))
--- a/tests/steps/permit_steps.py
+++ b/tests/steps/permit_steps.py
@@ -13,7 +13,7 @@
 from hickorylead.forwarding import events, model
 from hickorylead.ratelimits import limit_table, messages
 
-HOME = crash_guard_steps.HOME
+HOME_COORDINATOR = crash_guard_steps.HOME_COORDINATOR
 SERVER = "p0"
 
 
@@ -40,7 +40,12 @@
 
     Returns None if there is none.
     """
-    sent = [m for _, m in harness.permits.collect_messages(HOME, harness.now)]
+    sent = [
+        m
+        for _, m in harness.permits.collect_messages(
+            HOME_COORDINATOR, harness.now
+        )
+    ]
     found = [m for m in sent if isinstance(m, messages.PermitRequest)]
     return found[-1] if found else None
 
@@ -241,7 +246,7 @@
     assert not len(context.harness.permits.table)
 
 
-@when("calls arrive for {seconds:g} seconds, and no reply")
+@when("calls arrive for {seconds:g} seconds and no coordinator replies")
 def _(context, seconds):
     harness = context.harness
     context.started_at = harness.now
@@ -251,7 +256,10 @@
         harness.advance(0.1, each=lambda: collect_request(harness))
 
 
-@then("it sends {least:d} to {most:d} of them, from {late_s:g} seconds on")
+@then(
+    "it sends {least:d} to {most:d} of them, none before {late_s:g} seconds "
+    "have passed"
+)
 def _(context, least, most, late_s):
     harness = context.harness
     times = [
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -72,7 +72,7 @@
         raise AssertionError("the settings were accepted")
 
 
-@then("the gateway's process ends with exit code 2 and one line")
+@then("the gateway's process prints one line and ends with exit code 2")
 def _(context):
     with tempfile.NamedTemporaryFile("w", suffix=".conf") as file:
         file.write(context.settings_text)
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -86,7 +86,7 @@
         if a.request.request_id != request_id
     )
     duplicate = events.FrameArrived(attempt_id, request_id, 0, 1, "again")
-    late = events.FrameArrived("former.1", request_id, 5, 1, "late")
+    late = events.FrameArrived("previous.1", request_id, 5, 1, "late")
     foreign = events.FrameArrived(attempt_id, other, 3, 1, "foreign")
     for frame in (duplicate, duplicate, late, foreign):
         simulation.deliver(node, frame)
@@ -434,7 +434,7 @@
     assert final.problem.verdict.value == verdict, final
 
 
-@then("no request is refused because of servers that it crashed or that failed")
+@then("no request is refused as blocked or because replicas failed")
 def _(context):
     codes = [
         answer.final_effect.problem.code
--- a/tests/steps/life_steps.py
+++ b/tests/steps/server_restart_steps.py
@@ -96,7 +96,7 @@
     )
 
 
-@then("the new incarnation is known, free and with nothing in memory")
+@then("the new incarnation is registered, free and with nothing in memory")
 def _(context):
     for role in context.simulation.coordinators.values():
         known = role.registry.instances["i1"]
@@ -173,7 +173,7 @@
     deliver_heartbeat(context, make_previous_heartbeat(number))
 
 
-@then("it is known as leaving, with heartbeat {number:d}")
+@then("it is registered as leaving, with heartbeat {number:d}")
 def _(context, number):
     name = make_previous_heartbeat(number).name
     found = context.simulation.coordinators[context.node].registry.instances[
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -124,7 +124,7 @@
             )
 
 
-@given("a planner that knows 3 free servers")
+@given("a planner with reports of 3 free servers")
 def _(context):
     context.fixture = PlannerFixture()
 
--- a/tests/steps/timeline_steps.py
+++ b/tests/steps/timeline_steps.py
@@ -60,7 +60,7 @@
     text = re.sub(r" load_told_ago_s=N", "", text)
     # The bytes before a reset may be received before it or together with it.
     text = re.sub(r"reason=(closed|reset)", "reason=CUT", text)
-    file = GOLDEN / "story.txt"
+    file = GOLDEN / "timeline.txt"
     if context.config.userdata.get("golden") == "write":
         file.write_text(text, encoding="utf-8")
     assert text == file.read_text(encoding="utf-8"), text
--- a/tests/support/platform_cluster.py
+++ b/tests/support/platform_cluster.py
@@ -187,7 +187,7 @@
                 await asyncio.sleep(0.01)
 
     def list_model_replicas(self) -> list:
-        """Returns the replicas of the model that the gateway knows."""
+        """Returns the replicas of the model that the gateway lists."""
         return self.gateway.role._directory.list_replicas("models", MODEL)
 
     def find_server(self, name: str) -> platform.PlatformServer:
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -84,7 +84,7 @@
     record_response(
         processes.send_chat(first, stream, Priority="u=0"), "stream, urgent"
     )
-    record_response(processes.send_chat(last), "whole answer")
+    record_response(processes.send_chat(last), "complete response")
     key = demo.make_key()
     for vm in (first, last):
         response = deployment_module.call(
@@ -114,11 +114,13 @@
         lambda: processes.send_chat(last).status == 503,
         "entries refuse the service",
     )
-    record_response(processes.send_chat(last), "whole answer, in maintenance")
+    record_response(
+        processes.send_chat(last), "complete response, in maintenance"
+    )
     operate("preset", "switch", "ordinary")
     processes.wait_until_serving(deployment)
     record_response(
-        processes.send_chat(last), "whole answer, after maintenance"
+        processes.send_chat(last), "complete response, after maintenance"
     )
     return record.render()
 
@@ -207,7 +209,7 @@
     zone = simulation.zones[0]
     inside = next(n for n in simulation.entries if nodes.get_zone(n) == zone)
     outside = simulation.entries[-1]
-    record.add("operator", f"{zone} is cut off")
+    record.add("operator", f"{zone} is isolated")
     simulation.isolate_zone(zone)
     simulation.run(6)
     chat = simulation.submit(inside, "assistant", max_tokens=20)
@@ -233,7 +235,7 @@
             }
         )
         record.add("operator", f"change {name}: {text}")
-    record.add("operator", f"{zone} is joined again")
+    record.add("operator", f"{zone} is no longer isolated")
     simulation.heal()
     simulation.run(8)
     resubmitted = simulation.submit(
--- a/tests/telemetry/losses.feature
+++ b/tests/telemetry/losses.feature
@@ -1,5 +1,7 @@
 Feature: Late, refused and aborted requests, by cause, from logs alone
 
+  A loss is a request that was late, refused or aborted.
+
   Scenario Outline: Each loss gets the cause that the logs show
     Engineers on call have only the logs to find out why requests were late. For
     each cause, the logs hold one request that shows it.
