--- a/src/hickorylead/admission/budget.py
+++ b/src/hickorylead/admission/budget.py
@@ -10,13 +10,13 @@
 # Share of the operators' limits that gateways use. The rest is a margin:
 # traffic is spread unevenly over gateways, and each may spend its saved balance
 # in the same window as its new deposits.
-USED_SHARE = 0.75
+USED_LIMIT_SHARE = 0.75
 # Gateways assumed until a coordinator reports their number. A high number means
 # few retries at the start, which matters for a fraction of a second only.
 INITIAL_GATEWAY_COUNT = 64
 # The highest number of gateways reported within this time is used. In a
-# partitioned network each side is reported fewer gateways, while the gateways
-# of all sides continue to retry.
+# partitioned network, the number reported on each side is too low, while the
+# gateways of all sides continue to retry.
 GATEWAY_COUNT_RETENTION_S = 60.0
 
 
@@ -124,7 +124,7 @@
         """Returns the budget for the retries of a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            share = USED_SHARE * self._limits.ratio
+            share = USED_LIMIT_SHARE * self._limits.ratio
             budget = RetryBudget(share=share, balance=self._max_balance)
             budget.set_max_balance(self._max_balance)
             self._budgets[service] = budget
@@ -135,4 +135,6 @@
         # A balance of less than one retry could never be spent. With more
         # gateways than burst retries this exceeds the burst; the retries
         # allowed by the ratio make up for it.
-        return max(1.0, USED_SHARE * self._limits.burst / self._gateway_count)
+        return max(
+            1.0, USED_LIMIT_SHARE * self._limits.burst / self._gateway_count
+        )
--- a/src/hickorylead/claims/messages.py
+++ b/src/hickorylead/claims/messages.py
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class ClaimFinish:
-    """Reports the final response to a claimed request to a holder."""
+    """Reports to a claim holder the final response to a claimed request."""
 
     key: str
     owner: str
--- a/src/hickorylead/commands/roles.py
+++ b/src/hickorylead/commands/roles.py
@@ -81,8 +81,8 @@
     return command
 
 
-# The libraries of a role are imported after its settings have been validated:
-# a process uses memory only for the role that it runs.
+# The libraries of a role are imported in its function, after its settings have
+# been validated, so that a process uses memory only for its own role.
 
 
 def _run_entry(settings: Mapping[str, Any]) -> None:
--- a/src/hickorylead/consensus/configuration_requests.py
+++ b/src/hickorylead/consensus/configuration_requests.py
@@ -1,6 +1,6 @@
 """Requests to replace or read the complete configuration, at any voter.
 
-An operator may send a request to any control node. A node that is not the
+An operator may send a request to any coordinator. A node that is not the
 leader forwards the request to the leader and responds to the operator itself.
 """
 
@@ -61,13 +61,13 @@
 
 
 class ConfigurationRequests:
-    """Pending requests about the complete configuration at one control node."""
+    """Pending requests about the complete configuration at one coordinator."""
 
     def __init__(self, *, node: str, voter: voter_module.Voter) -> None:
         """Creates the state without any pending requests.
 
         Args:
-            node: Name of this control node.
+            node: Name of this coordinator.
             voter: Its voter.
         """
         self._node = node
--- a/src/hickorylead/crashes/crash_guard.py
+++ b/src/hickorylead/crashes/crash_guard.py
@@ -72,7 +72,7 @@
         # Requests that coordinators suspect or block, but got a complete
         # response here; not reported yet.
         self._cleared: set[int] = set()
-        self._home = ""
+        self._home_coordinator = ""
 
     def count_blocked(self) -> int:
         """Returns the number of blocked requests."""
@@ -167,12 +167,12 @@
             self._suspected[suspicion.content] = until, is_allowed
 
     def collect_messages(
-        self, home: str, now: float
+        self, home_coordinator: str, now: float
     ) -> list[tuple[str, messages.CrashNews]]:
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's home coordinator; empty if it has none.
+            home_coordinator: Its name; empty if the gateway has none.
             now: Present time.
         """
         while (
@@ -180,12 +180,14 @@
             and now - self._lost_runs[0].lost_at > crash_history.PENDING_S
         ):
             self._lost_runs.popleft()
-        is_new_home = home != self._home
-        self._home = home
-        if not home:
+        has_new_home_coordinator = home_coordinator != self._home_coordinator
+        self._home_coordinator = home_coordinator
+        if not home_coordinator:
             return []
         due = [
-            run for run in self._lost_runs if is_new_home or _is_due(run, now)
+            run
+            for run in self._lost_runs
+            if has_new_home_coordinator or _is_due(run, now)
         ]
         cleared, self._cleared = self._cleared, set()
         if not due and not cleared:
@@ -200,7 +202,12 @@
         # All losses up to now are cleared, not only those before the response:
         # a request that got a complete response does not crash servers.
         clearances = tuple(messages.Clearance(c, 0) for c in sorted(cleared))
-        return [(home, messages.CrashNews(self._node, crashes, clearances))]
+        return [
+            (
+                home_coordinator,
+                messages.CrashNews(self._node, crashes, clearances),
+            )
+        ]
 
     def _was_completed(self, request_hash: int, now: float) -> bool:
         return (
--- a/src/hickorylead/crashes/crash_history.py
+++ b/src/hickorylead/crashes/crash_history.py
@@ -20,12 +20,12 @@
 # Number of servers that must end while running a request before it is blocked.
 # Two are not enough evidence: a stream that loses its server continues at
 # another one, which may end as well. A request and its caller's retry make four
-# attempts, so a harmless one can meet a third loss, and then loses only its
-# last attempt.
+# attempts, so a harmless request can lose a third server; only its last attempt
+# is then refused.
 BLOCK_THRESHOLD = 3
 # A lost run counts only if the incarnation of its server ends within this time,
-# in seconds. Coordinators may be down for some seconds and learn of servers
-# only after that.
+# in seconds. Coordinators may be down for some seconds and receive the
+# first heartbeats of servers only after that.
 PENDING_S = 30.0
 # A request is blocked until the third last loss of a server that ran it is this
 # old, in seconds. This is long compared to the seconds in which a caller
@@ -39,8 +39,8 @@
 # failure of a zone or switch ends many servers at once, while they run requests
 # that did not cause it.
 MAX_SUSPECTED = 8
-# Maximum number of lost runs that are kept, some 300 bytes each. A zone of 120
-# replicas that fails loses 2,800 of them at 3,500 requests/s.
+# Maximum number of lost runs that are kept, some 300 bytes each. The failure of
+# a zone with 120 replicas at 3,500 requests/s causes 2,800 lost runs.
 MAX_CRASHES = 4096
 # Maximum number of cleared requests that are kept; the newest stay.
 MAX_CLEARED = 256
--- a/src/hickorylead/crashes/crash_tracker.py
+++ b/src/hickorylead/crashes/crash_tracker.py
@@ -43,7 +43,7 @@
         self._history = crash_history.CrashHistory()
         self._sent_blocked: frozenset[int] = frozenset()
         self._sent_suspected: dict[int, str] = {}
-        # Gateways that have this coordinator as their home.
+        # Gateways that have this home coordinator.
         self._own_gateways: tuple[str, ...] = ()
         self._other_home_coordinators: tuple[str, ...] = ()
         self._next_prune_at = 0.0
@@ -121,10 +121,16 @@
     def sync_gateway(
         self, node: str, digest: int, *, is_new: bool, now: float
     ) -> list[Sent]:
-        """Returns a block update if a gateway's digest differs.
+        """Returns a block update if the digests of gateway and node differ.
 
-        A gateway that started or changed home gets it at once: it would send
-        requests that all others block.
+        A gateway that started or changed its home coordinator gets it at once:
+        it would send requests that all others block.
+
+        Args:
+            node: The gateway.
+            digest: Digest of the hashes that it blocks or treats as suspected.
+            is_new: Whether this has just become its home coordinator.
+            now: Present time.
         """
         own_digest = crash_guard.digest_request_hashes(
             self._history.find_blocked(), self._history.find_suspected(now)
@@ -147,10 +153,10 @@
         Args:
             has_ended: Returns whether a server's incarnation is known to have
                 ended.
-            gateways: Gateways that have this coordinator as their home.
+            gateways: Gateways that have this home coordinator.
             now: Present time.
-            other_home_coordinators: Other coordinators that are home to
-                gateways.
+            other_home_coordinators: Other coordinators that are home
+                coordinators of gateways.
         """
         self._history.confirm(has_ended)
         if now >= self._next_prune_at:
--- a/src/hickorylead/fleet/failure_detector.py
+++ b/src/hickorylead/fleet/failure_detector.py
@@ -13,7 +13,7 @@
 
 # Heartbeat periods without a heartbeat after which a server is probed.
 # Heartbeats have a jitter of a tenth, and one that got no response within a
-# second is sent to the next control node.
+# second is sent to the next coordinator.
 PROBE_AFTER_PERIODS = 1.5
 # A probe without a response is repeated after this, in seconds.
 PROBE_INTERVAL_S = 0.7
--- a/src/hickorylead/fleet/gateways.py
+++ b/src/hickorylead/fleet/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways that a coordinator knows, and the updates it sends them."""
+"""The gateways known to a coordinator, and the updates it sends them."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 GATEWAY_TIMEOUT_S = 10.0
 # Loads of a zone are sent this often, in seconds.
 LOADS_PERIOD_S = 0.25
-# Gateways are sent the list of control nodes when it changes, and this often,
+# Gateways are sent the list of coordinators when it changes, and this often,
 # in seconds; a list of six takes 400 bytes. A gateway that looks for a home
 # coordinator is sent it on each hello: it uses the reply as a liveness signal.
 COORDINATORS_PERIOD_S = 5.0
 # A gateway that holds an older configuration gets the newer one from its home
 # coordinator at once. Other coordinators send it only if the gateway has been
-# outdated for this long, in seconds: when all 6 control nodes sent 30 KB to 71
+# outdated for this long, in seconds: when all 6 coordinators sent 30 KB to 71
 # gateways at each change, that took 13 MB. They do send it then, as the home
 # coordinator may be outdated itself and a change must arrive within 2 s.
 OUTDATED_GRACE_S = 0.2
 # A configuration that was sent counts as in transit for this long, in seconds.
 RESEND_DOCUMENT_S = 0.5
-# The same for a gateway that has no configuration yet, in seconds. It is sent
-# the configuration with each hello: the first one may not count as recent, if
-# no leader had been elected yet.
+# The same for a gateway that has no configuration yet, in seconds. The home
+# coordinator sends it the configuration again at each hello: the first copy may
+# not be marked as recent, if no leader had been elected yet.
 RESEND_FIRST_DOCUMENT_S = 0.2
 
 
@@ -75,11 +75,11 @@
         """Returns the gateways whose home coordinator is this one."""
         return [n for n in self.list_all(now) if self._gateways[n].is_home]
 
-    def is_home_to(self, node: str, boot: int) -> bool:
-        """Returns whether this was a gateway's home as of its last hello.
+    def is_home_coordinator_of(self, node: str, boot: int) -> bool:
+        """Returns whether this was a gateway's home coordinator.
 
-        False for a gateway that has just started or is about to switch its
-        home to this coordinator.
+        This is as of the gateway's last hello: False for a gateway that has
+        just started or is about to switch to this home coordinator.
         """
         gateway = self._gateways.get(node)
         return gateway is not None and gateway.boot == boot and gateway.is_home
@@ -97,8 +97,8 @@
 
         Args:
             hello: The hello.
-            registry: Backend servers that this coordinator knows.
-            known: Control nodes that this coordinator knows.
+            registry: Backend servers known to this coordinator.
+            known: Coordinators known to this one.
             sender: Name of this coordinator.
             now: Present time.
         """
@@ -126,8 +126,8 @@
             sent.append((hello.node, known))
             gateway.coordinators_sent_at = now
             gateway.coordinators_sent = known.nodes
-        has_changed_home = hello.is_home and not previous.is_home
-        if has_changed_home:
+        is_new_home_coordinator = hello.is_home and not previous.is_home
+        if is_new_home_coordinator:
             needs_full_sync = hello.check != registry.digest
         else:
             needs_full_sync = self._needs_full_sync(hello, registry, now)
@@ -144,9 +144,10 @@
         registry: registry_module.Registry,
         now: float,
     ) -> bool:
-        """Returns whether to send a full sync, which only its home does."""
+        """Returns whether to send a full sync; only a home coordinator does."""
         if not hello.is_home or registry.had_digest(hello.check, now):
-            # The missing updates are in transit, or its home sends them.
+            # The missing updates are in transit, or the home coordinator sends
+            # them.
             self._divergence.clear(hello.node)
             return False
         return self._divergence.needs_full_sync(
--- a/src/hickorylead/fleet/group_builder.py
+++ b/src/hickorylead/fleet/group_builder.py
@@ -29,9 +29,9 @@
 FORM_SLACK_S = 3.0
 # Step between epochs; a planner adds its number, so no two use the same epoch.
 EPOCH_STEP = 64
-# A planner's first epoch is this much above those that servers report: more
-# than the groups, 64 numbers each, that one planner forms in some minutes
-# (about 100 in a simulation of 60 s with a loss every 3 s).
+# A planner's first epoch is this much above those that servers report. This
+# leaves room for 256 groups, 64 numbers each: more than one planner forms in
+# some minutes (about 100 in a simulation of 60 s with a loss every 3 s).
 EPOCH_JUMP = 256 * EPOCH_STEP
 # Name prefix of groups of one server that only load weights into memory.
 WARM_UP_PREFIX = "w"
@@ -339,7 +339,7 @@
             filter(None, (i.last_model for i in free))
         )
         for instance in sorted(free, key=lambda i: i.name):
-            if self._tracker.is_staging(instance) or not self._standbys.is_idle(
+            if self._tracker.is_loading(instance) or not self._standbys.is_idle(
                 instance, self._now
             ):
                 continue
@@ -379,7 +379,7 @@
         priority: loads.LoadPriority,
         missing: int = 0,
     ) -> None:
-        if not self._tracker.is_staging(instance):
+        if not self._tracker.is_loading(instance):
             self._loads.request(
                 loads.LoadRequest(instance, model, priority, missing)
             )
--- a/src/hickorylead/fleet/identity.py
+++ b/src/hickorylead/fleet/identity.py
@@ -15,7 +15,7 @@
         node: Its name.
         address: `ip:port` for its peers.
         incarnation: Name of the present incarnation of the data folder.
-        seeds: Peer addresses of a few control nodes.
+        seeds: Peer addresses of a few coordinators.
         may_bootstrap: Whether this is the first start of the cluster.
         heartbeat_s: Heartbeat period of backend servers, in seconds.
         zones: All availability zones.
--- a/src/hickorylead/fleet/instances.py
+++ b/src/hickorylead/fleet/instances.py
@@ -49,14 +49,14 @@
         models: Models in its memory.
         staged: Models staged on its VM.
         member: Its place in a group; an empty group name if it is in none.
-        silent: Whether control nodes have missed its heartbeats for long.
+        silent: Whether coordinators have missed its heartbeats for long.
         last_model: Model of its last group, which it still has in memory;
             empty if it was in none. The server does not report this; nodes
             that observed the group forward it, so that a node that restarts
             gets it as well.
         born: Start time of this incarnation, in Unix milliseconds; 0 where
             servers do not report it and each incarnation has its own id.
-        loading: Model that a control node ordered it to stage and that it does
+        loading: Model that a coordinator ordered it to stage and that it does
             not report as staged yet; empty if there is none. The server does
             not report this either.
     """
@@ -86,7 +86,7 @@
 def is_newer(update: Instance, known: Instance | None) -> bool:
     """Returns whether an update of a backend server replaces the known state.
 
-    Heartbeats arrive through any control node and may be reordered. The end of
+    Heartbeats arrive through any coordinator and may be reordered. The end of
     an incarnation is final: a late heartbeat of it would bring back an address
     that now belongs to another service. Draining is final as well; a server
     may report it in its HTTP responses while its heartbeats do not. A later
@@ -132,7 +132,10 @@
 
 
 def _keep_draining(update: Instance, known: Instance) -> Instance:
-    """Returns the newer state of a draining server, marked as draining."""
+    """Returns the newer state of a draining server.
+
+    It is marked as draining unless it is gone.
+    """
     if update.phase == PHASE_GONE:
         return update
     newer = update if update.sequence >= known.sequence else known
--- a/src/hickorylead/fleet/loads.py
+++ b/src/hickorylead/fleet/loads.py
@@ -13,7 +13,7 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.fleet import instances
 
-# Window over which the store limits the rate of loads, in seconds.
+# Window over which the rate of load starts is limited, in seconds.
 WINDOW_S = 5.0
 # Secondary loads, for servers that serve already, start only while fewer than
 # this share of the allowed concurrent loads are in progress, counting those of
@@ -102,7 +102,7 @@
 
         Args:
             engine: Performance profile of the service's engines.
-            planners: Control nodes that share the store, reachable or not.
+            planners: Coordinators that share the store, reachable or not.
             in_progress: Loads in progress.
             now: Present time.
         """
--- a/src/hickorylead/fleet/messages.py
+++ b/src/hickorylead/fleet/messages.py
@@ -27,10 +27,10 @@
 
 @attrs.frozen
 class Alive:
-    """Heartbeats without changes, from one control node to the others.
+    """Heartbeats without changes, from one coordinator to the others.
 
     Attributes:
-        sender: Control node that received them.
+        sender: Coordinator that received them.
         names: Backend servers.
         sequences: Number of the newest heartbeat of each.
         since: Number of the heartbeat of each that last reported a change.
@@ -67,13 +67,13 @@
 
 @attrs.frozen
 class GatewayHello:
-    """Periodic report of a gateway to a control node.
+    """Periodic report of a gateway to a coordinator.
 
     Attributes:
         node: Name of the gateway.
         boot: Identifies the incarnation of the gateway.
         version: Configuration version it holds.
-        check: Digest of the instances it knows.
+        check: Digest of its registry.
         is_home: Whether the receiver is its home coordinator, which sends it
             loads and forwarded updates.
         loads: Its requests by replica, only for its home coordinator.
@@ -108,10 +108,10 @@
 
 @attrs.frozen
 class ZoneLoads:
-    """Requests of all gateways of a zone by replica, from their home node.
+    """Requests of a zone's gateways by replica, from their home coordinator.
 
     Attributes:
-        sender: Control node.
+        sender: Coordinator.
         loads: Sum over the gateways of the zone.
         is_fresh: Whether the sender had contact to a leader with a majority
             recently.
@@ -126,20 +126,20 @@
 
 @attrs.frozen
 class CoordinatorHello:
-    """Periodic report of a control node to another one.
+    """Periodic report of a coordinator to another one.
 
     Attributes:
         node: Its name.
         address: `ip:port` for its peers.
         incarnation: Its member id in the configuration log.
-        nodes: Names of the control nodes it knows.
+        nodes: Names of the coordinators in its list.
         addresses: Their addresses, in the same order.
-        check: Digest of the instances it knows.
+        check: Digest of its registry.
         is_empty: Whether it belongs to no cluster and may bootstrap one.
         gateways: Number of gateways whose home coordinator it is.
         has_traffic: Whether callers are served: from then on loads from the
             weight store are limited.
-        crashes: Digest of the lost runs that it knows.
+        crashes: Digest of its lost runs.
     """
 
     node: str
@@ -156,10 +156,10 @@
 
 @attrs.frozen
 class KnownCoordinators:
-    """The control nodes, sent by a control node to a gateway.
+    """The coordinators, sent by a coordinator to a gateway.
 
     Attributes:
-        sender: Control node that sends the list.
+        sender: Coordinator that sends the list.
         nodes: Their names.
         addresses: Their addresses, in the same order.
         is_fresh: Whether the sender had contact to a leader with a majority
@@ -174,10 +174,10 @@
 
 @attrs.frozen
 class DocumentUpdate:
-    """The configuration that a control node holds.
+    """The configuration that a coordinator holds.
 
     Attributes:
-        sender: Control node.
+        sender: Coordinator.
         version: The operator's version; 0 if there is none yet.
         content: The configuration, packed; empty if the receiver has it.
         is_fresh: Whether the sender had contact to a leader with a majority
@@ -192,7 +192,7 @@
 
 @attrs.frozen
 class ReplaceRequest:
-    """A control node's request to the leader to replace the configuration."""
+    """A coordinator's request to the leader to replace the configuration."""
 
     node: str
     token: str
@@ -210,7 +210,7 @@
 
 @attrs.frozen
 class ReadRequest:
-    """A control node's request to the leader for the newest configuration."""
+    """A coordinator's request to the leader for the newest configuration."""
 
     node: str
     token: str
--- a/src/hickorylead/fleet/order_tracker.py
+++ b/src/hickorylead/fleet/order_tracker.py
@@ -46,7 +46,7 @@
 # A load without an effect after this has failed, in seconds: almost three times
 # the 16 s that the longest takes alone; with as many loads in progress as are
 # allowed, loads took up to 25 s.
-STAGE_LIMIT_S = 45.0
+STAGE_TIMEOUT_S = 45.0
 
 _UNKNOWN = -1
 
@@ -88,7 +88,7 @@
         self._pending: dict[str, _Pending] = {}
         self._accepted: dict[str, int] = {}
         self._contested: set[str] = set()
-        self._born: dict[str, int] = {}
+        self._start_times: dict[str, int] = {}
         # Start of the loads that any planner ordered, by server.
         self._loading: dict[str, float] = {}
         self._empty: set[str] = set()
@@ -161,8 +161,8 @@
         previous one, each order would be refused.
         """
         for name, instance in servers.items():
-            previous = self._born.get(name, instance.born)
-            self._born[name] = instance.born
+            previous = self._start_times.get(name, instance.born)
+            self._start_times[name] = instance.born
             if previous == instance.born:
                 continue
             self._pending.pop(name, None)
@@ -171,11 +171,11 @@
             self._reports.pop(name, None)
             self._probed_at.pop(name, None)
             self._contested.discard(name)
-        for name in [n for n in self._born if n not in servers]:
-            del self._born[name]
+        for name in [n for n in self._start_times if n not in servers]:
+            del self._start_times[name]
 
     def _update_loads(self, servers: Mapping[str, instances.Instance]) -> None:
-        """Updates which servers load a model that any planner ordered."""
+        """Updates which servers are loading, whichever planner ordered it."""
         found = {
             name: at
             for name, at in self._loading.items()
@@ -230,7 +230,7 @@
 
     def handle_report(self, event: orders.ReportArrived) -> None:
         """Handles the number of accepted orders that a server reports."""
-        if event.born != self._born.get(event.name, event.born):
+        if event.born != self._start_times.get(event.name, event.born):
             # From another incarnation than the one that is planned for.
             return
         if event.accepted is None:
@@ -271,11 +271,12 @@
                 return False
         renewed = _Pending(order, self._now)
         if pending is not None and pending.order == order:
-            # A join that was acknowledged once stays acknowledged. If it is
-            # sent again to a server whose heartbeats do not arrive here, and
-            # gets no response this time, it would seem never to have begun; but
-            # the number includes it, so another join would take the server out
-            # of its group.
+            # A join that was acknowledged once stays acknowledged. Otherwise,
+            # if the join is sent again to a server whose heartbeats do not
+            # arrive here, and gets no response this time, it would count as
+            # never accepted. But the tracked number of accepted orders includes
+            # this join, so the server would accept another join with that
+            # number and leave its group.
             renewed.acknowledged = pending.acknowledged
             renewed.sequence = pending.sequence
         self._pending[instance.name] = renewed
@@ -319,8 +320,8 @@
             return True
         return self._now - pending.issued_at < EFFECT_WAIT_S
 
-    def is_staging(self, instance: instances.Instance) -> bool:
-        """Returns whether the server has yet to stage a model as ordered."""
+    def is_loading(self, instance: instances.Instance) -> bool:
+        """Returns whether the server is loading, on any planner's order."""
         return self._is_loading(instance.name)
 
     def list_loading(self) -> list[str]:
@@ -333,10 +334,10 @@
         if pending is not None and self._is_load(pending):
             return True
         since = self._loading.get(name)
-        return since is not None and self._now - since < STAGE_LIMIT_S
+        return since is not None and self._now - since < STAGE_TIMEOUT_S
 
     def _is_load(self, pending: _Pending) -> bool:
-        wait_s = STAGE_LIMIT_S if pending.acknowledged else STAGE_RETRY_S
+        wait_s = STAGE_TIMEOUT_S if pending.acknowledged else STAGE_RETRY_S
         return (
             isinstance(pending.order, orders.Stage)
             and self._now - pending.issued_at < wait_s
--- a/src/hickorylead/fleet/orders.py
+++ b/src/hickorylead/fleet/orders.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Open:
-    """Lets the head of a group serve; the other members are not checked."""
+    """Lets the head of a group serve; the head does not check the others."""
 
     group: str
     epoch: int
--- a/src/hickorylead/fleet/peer_directory.py
+++ b/src/hickorylead/fleet/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other control nodes known to a node, discovered from a few seeds."""
+"""The known other coordinators, discovered from a few seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     from hickorylead.fleet import messages
 
-# Control nodes send each other a hello this often, in seconds.
+# Coordinators send each other a hello this often, in seconds.
 HELLO_PERIOD_S = 0.3
 # A peer without a hello for this long is treated as lost, in seconds: four
 # hello periods, above the delays of a loop that syncs to a slow disk.
@@ -25,14 +25,14 @@
 
 @attrs.define
 class Peer:
-    """One other control node.
+    """One other coordinator.
 
     Attributes:
         address: `ip:port` for its peers.
         last_hello_at: When its last hello arrived.
         incarnation: Its member id in the configuration log.
         is_empty: Whether it belongs to no cluster.
-        digest: Digest of the instances that it knows.
+        digest: Digest of its registry.
         gateways: Number of gateways whose home coordinator it is.
     """
 
@@ -45,7 +45,7 @@
 
 
 class PeerDirectory:
-    """All other control nodes."""
+    """The known other coordinators."""
 
     def __init__(self, *, node: str, seeds: Iterable[str]) -> None:
         """Makes a directory without peers.
@@ -61,7 +61,7 @@
     def handle_hello(
         self, hello: messages.CoordinatorHello, now: float
     ) -> None:
-        """Handles a hello and the nodes that its sender knows."""
+        """Handles a hello and the nodes that it lists."""
         if hello.node == self._node:
             return
         peer = self.known.setdefault(hello.node, Peer(hello.address, now))
@@ -92,11 +92,11 @@
         )
 
     def list_home_coordinators(self, now: float) -> list[str]:
-        """Returns the alive peers that are home to gateways, sorted."""
+        """Returns the alive peers that are home coordinators, sorted."""
         return [n for n in self.list_alive(now) if self.known[n].gateways]
 
     def count_gateways(self, now: float) -> int:
-        """Returns the number of gateways whose home is an alive peer."""
+        """Returns how many gateways have an alive peer as home coordinator."""
         return sum(self.known[n].gateways for n in self.list_alive(now))
 
     def list_hello_targets(self) -> list[str]:
@@ -104,7 +104,7 @@
 
         A node that has not sent a hello is listed by address. Connections
         resolve a name only from that node's own messages, so two nodes that
-        each know the other only through a third one would never connect.
+        were listed to each other only by a third one would never connect.
         """
         addresses = {n.address for n in self.known.values()}
         unknown = [f"@{s}" for s in self.seeds if s not in addresses]
@@ -115,7 +115,7 @@
         return [*known, *unknown]
 
     def find_owner(self, zone: str, domain: str, now: float) -> str:
-        """Returns the control node that plans a domain.
+        """Returns the coordinator that plans a domain.
 
         It is a node of the domain's own zone, if any is alive: that one still
         reaches the domain when the zone is isolated.
--- a/src/hickorylead/fleet/planner.py
+++ b/src/hickorylead/fleet/planner.py
@@ -35,12 +35,12 @@
     from hickorylead.configuration import document as document_module
 
 # A member that has sent no heartbeat yet is waited for this long, in seconds:
-# two heartbeat periods, as one heartbeat may go to a control node that is gone.
+# two heartbeat periods, as one heartbeat may go to a coordinator that is gone.
 FIRST_HEARTBEAT_WAIT_S = 2.5
 
 
 class Planner:
-    """Plans the groups of the domains that one control node owns."""
+    """Plans the groups of the domains that one coordinator owns."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
             domains: Fabric domains that this planner owns at present.
             lost: Instances that are treated as dead.
             stale: Instances whose state is too old to send them orders.
-            planners: Number of control nodes that share the weight store.
+            planners: Number of coordinators that share the weight store.
             has_traffic: Whether requests were served already; before that,
                 loads are not limited.
             now: Present time.
@@ -262,7 +262,7 @@
 
         A planner that has just started receives the servers' heartbeats one by
         one. If it disbanded the group of the first server, each restart of all
-        control nodes would end all groups that serve.
+        coordinators would end all groups that serve.
         """
         since = self._first_seen.setdefault(key, self._now)
         return self._now - since < FIRST_HEARTBEAT_WAIT_S
--- a/src/hickorylead/fleet/registry.py
+++ b/src/hickorylead/fleet/registry.py
@@ -1,4 +1,4 @@
-"""The backend servers that a node knows."""
+"""The backend servers known to a node."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 GONE_RETENTION_S = 120.0
 # A server that is known from the disk alone is not treated as lost for this
 # long after a restart, in seconds: two heartbeat periods, as one heartbeat may
-# go to a control node that is gone. With a shorter time a working group was
-# closed 1.85 s after all control nodes restarted, as the heartbeat of one
+# go to a coordinator that is gone. With a shorter time a working group was
+# closed 1.85 s after all coordinators restarted, as the heartbeat of one
 # member arrived at 1.88 s.
 FIRST_HEARTBEAT_WAIT_S = 2.5
 # A node is sent no full sync if its digest equals the one that this node had at
@@ -38,10 +38,11 @@
         self.last_update_at: dict[str, float] = {}
         # Number of the heartbeat that last reported a change.
         self.changed_sequences: dict[str, int] = {}
-        # When servers without a heartbeat since were restored from disk.
+        # When each server was restored from disk, for servers that have sent no
+        # heartbeat since.
         self._restored: dict[str, float] = {}
         # Number of changes, so that users can detect a change cheaply.
-        self.changes = 0
+        self.change_count = 0
         self._hashes: dict[str, int] = {}
         self._digest = 0
         # Previous digests, and until when each was the current one.
@@ -158,7 +159,7 @@
             and not self.awaits_first_heartbeat(name, now)
         )
 
-    def find_born(self, name: str) -> int:
+    def find_start_time(self, name: str) -> int:
         """Returns the start time of a server's incarnation; 0 if unknown."""
         known = self.instances.get(name)
         return known.born if known else 0
@@ -207,7 +208,7 @@
                 self._restored.pop(name, None)
                 self._previous_digests.append((now, self._digest))
                 self._digest ^= self._hashes.pop(name, 0)
-                self.changes += 1
+                self.change_count += 1
         return dropped
 
     def _end_superseded(self, update: instances.Instance, now: float) -> None:
@@ -241,7 +242,7 @@
         return update.sequence <= other.sequence
 
     def _record_change(self, instance: instances.Instance, now: float) -> None:
-        self.changes += 1
+        self.change_count += 1
         self._previous_digests.append((now, self._digest))
         self._digest ^= self._hashes.pop(instance.name, 0)
         if instance.phase != instances.PHASE_GONE:
--- a/src/hickorylead/fleet/supervisor.py
+++ b/src/hickorylead/fleet/supervisor.py
@@ -39,8 +39,8 @@
 # node receives its heartbeats and plans for it. After the loss of a node, the
 # heartbeats of its servers reach another one within 1.1 periods and a second.
 STALE_PERIODS = 2.5
-# After a full sync from another node it knows every server after this, in
-# seconds.
+# A node treats its list of servers as complete this long after a full sync from
+# another node, in seconds.
 FULL_SYNC_SETTLE_S = 0.2
 
 Effect: TypeAlias = orders.SendOrder | orders.RequestReport | notes.Note
@@ -66,8 +66,8 @@
             identity: The node.
             policy: Trade-off between downtime and stranded accelerators.
             start_id: Unique id of the node's start.
-            registry: Backend servers that the node knows.
-            peers: Other control nodes.
+            registry: Backend servers known to the node.
+            peers: Other coordinators.
             has_leader: Returns whether the node has contact to a leader.
             now: Present time.
         """
@@ -85,7 +85,8 @@
             start_id=start_id,
         )
         self._has_traffic = not identity.may_bootstrap
-        # A node that knows only some servers would form groups that exist.
+        # A node that has received only some servers would form groups that
+        # exist already.
         settle_s = 0.0 if identity.may_bootstrap else SETTLE_PERIODS
         self._planning_starts_at = now + settle_s * identity.heartbeat_s
         self._next_plan = now
@@ -122,7 +123,7 @@
         if not self._pauses:
             return False
         self._pauses = {k: t for k, t in self._pauses.items() if t > now}
-        return (name, self._registry.find_born(name)) in self._pauses
+        return (name, self._registry.find_start_time(name)) in self._pauses
 
     def _probe(
         self, members: Iterable[instances.Instance], now: float
@@ -281,7 +282,7 @@
         return self.plan_soon(now)
 
     def _count_planners(self) -> int:
-        """Returns how many control nodes may start loads.
+        """Returns how many coordinators may start loads.
 
         Unreachable nodes are included: an isolated one continues to repair its
         zone. A peer is removed only after a minute without a hello.
--- a/src/hickorylead/forwarding/choice.py
+++ b/src/hickorylead/forwarding/choice.py
@@ -27,16 +27,16 @@
 # this much random time, in seconds, is added to each estimate.
 JITTER_S = 0.006
 # Added to the estimate for each recent failure, in seconds: about half of the
-# shortest objective, so a replica that fails every second request loses nearly
-# all of its traffic while others are free.
+# shortest objective of streams, so a replica that fails every second request
+# loses nearly all of its traffic while others are free.
 FAILURE_PENALTY_S = 0.15
 # Added for a replica that is likely to refuse, as for one recent failure.
 PROBATION_PENALTY_S = FAILURE_PENALTY_S
-# Added for a replica whose heartbeats the control nodes miss, in seconds: only
+# Added for a replica whose heartbeats the coordinators miss, in seconds: only
 # replicas that seem to have stalled are a worse choice.
 MISSING_PENALTY_S = 0.5
-# Requests that may be sent to a replica beyond its slots, as a share of them;
-# it queues a few.
+# Requests beyond its slots that may be sent to a replica, as a share of its
+# slots; the replica queues them.
 QUEUE_SHARE = 0.25
 
 
@@ -49,14 +49,14 @@
         estimate_s: Estimated time to the first token, in seconds.
         candidates: Replicas whose estimates were compared.
         withheld: A better one, not chosen because no permit is left for it.
-        paused: Replicas that asked for no requests for a time.
+        paused_count: Number of replicas that requested a pause.
     """
 
     replica: model.Replica
     estimate_s: float
     candidates: int
     withheld: model.Replica | None = None
-    paused: int = 0
+    paused_count: int = 0
 
 
 @attrs.frozen
--- a/src/hickorylead/forwarding/descriptions.py
+++ b/src/hickorylead/forwarding/descriptions.py
@@ -151,7 +151,7 @@
         "estimate_s": round(choice.estimate_s, 4),
         "running": choice.running,
         "limit_per_s": choice.limit_per_s,
-        "paused": choice.paused or None,
+        "paused": choice.paused_count or None,
         "load_told_ago_s": _round(choice.load_age_s),
     }
 
--- a/src/hickorylead/forwarding/forwarder.py
+++ b/src/hickorylead/forwarding/forwarder.py
@@ -54,7 +54,7 @@
 MAX_FAULTY_SERVERS = 64
 # A request with less time left, in seconds, is not sent to a replica, which
 # could not respond in time.
-MIN_BUDGET_S = 0.02
+MIN_TIME_LEFT_S = 0.02
 # Responses that are not streams are buffered until complete up to this size, in
 # bytes, so that a request whose response breaks off can be retried on another
 # replica.
@@ -101,7 +101,8 @@
         self._permits = permits
         self._budgets = budget_module.GatewayRetryBudgets(limits)
         self._pending: dict[str, state.PendingRequest] = {}
-        # Servers that refusals named as at fault, not yet reported, in order.
+        # Servers that refusals named as at fault and that have not been
+        # reported yet, in the order of the refusals.
         self._faulty_servers: dict[str, None] = {}
         # Connection limits apply only once the number of gateways is known.
         self._has_gateway_count = False
@@ -282,7 +283,7 @@
         self, pending: state.PendingRequest, now: float
     ) -> list[events.Effect]:
         request = pending.request
-        if pending.ends_at - now < MIN_BUDGET_S:
+        if pending.ends_at - now < MIN_TIME_LEFT_S:
             return self._expire(pending, now)
         # A caller submits a request that ended its server again, through any
         # gateway. Without this check, each submission ended two more servers.
@@ -322,7 +323,9 @@
                     pending.phase = "waiting"
                     return []
                 return self._refuse(
-                    pending, refusals.describe_no_choice(pending, chosen), now
+                    pending,
+                    refusals.refuse_without_choice(pending, chosen),
+                    now,
                 )
 
     def _must_defer(self, pending: state.PendingRequest, now: float) -> bool:
@@ -368,7 +371,7 @@
             stats.own_requests,
             now - stats.reported_at if stats.reported_at > 0 else None,
             self._permits.get_limit_per_s(replica, now),
-            chosen.paused,
+            chosen.paused_count,
         )
         self._permits.consume_permit(replica, now)
         stats.own_requests += 1
@@ -604,7 +607,7 @@
     def _retry(
         self, pending: state.PendingRequest, reason: str, now: float
     ) -> list[events.Effect]:
-        has_time = pending.ends_at - now > MIN_BUDGET_S
+        has_time = pending.ends_at - now > MIN_TIME_LEFT_S
         if not (
             has_time
             and pending.may_repeat
@@ -622,7 +625,7 @@
             abort = events.AbortResponse(pending.request.request_id)
             return [abort, *self._finish(pending, f"broken_{reason}", now)]
         return self._refuse(
-            pending, refusals.describe_failure(pending, reason), now
+            pending, refusals.refuse_after_failure(pending, reason), now
         )
 
     def _can_move(self, pending: state.PendingRequest, now: float) -> bool:
@@ -637,7 +640,7 @@
             or not pending.request.route.is_retryable
             or pending.runs + 1 >= pending.request.route.max_attempts
             or pending.attempt_count >= MAX_SENDS
-            or pending.ends_at - now <= MIN_BUDGET_S
+            or pending.ends_at - now <= MIN_TIME_LEFT_S
             or not self._budgets.get_budget(
                 pending.request.service
             ).has_balance(1)
@@ -694,7 +697,7 @@
     ) -> list[events.Effect]:
         if pending.started:
             return self._end_failed(pending, refusals.BLOCKED_REASON, now)
-        refusal = refusals.describe_block(pending, blocked_s)
+        refusal = refusals.refuse_blocked(pending, blocked_s)
         return self._refuse(pending, refusal, now)
 
     def _cancel_current_attempt(
@@ -764,6 +767,9 @@
         A replica resets connections above its limit, along with the requests on
         them. Gateways share the limit equally. Each may run at least one
         request, so that none is locked out when gateways outnumber connections.
+
+        None if the service has no connection limit, or while the service or the
+        number of gateways is unknown.
         """
         found = self.document.find_service(service) if self.document else None
         if found is None or not (
--- a/src/hickorylead/forwarding/health.py
+++ b/src/hickorylead/forwarding/health.py
@@ -6,9 +6,9 @@
 
 from hickorylead.forwarding import model
 
-# A stalled replica is avoided for this long, in seconds. Control nodes dissolve
-# a group that really lost a member within this time; a replica that was only
-# slow should be used again soon.
+# A stalled replica is avoided for this long, in seconds. Coordinators disband a
+# group that really lost a member within this time; a replica that was only slow
+# should be used again soon.
 STALL_HOLD_S = 1.2
 # Half-life of the size of a model's largest prompt, in seconds.
 PROMPT_HALF_LIFE_S = 10.0
--- a/src/hickorylead/forwarding/model.py
+++ b/src/hickorylead/forwarding/model.py
@@ -133,7 +133,7 @@
         zone: Its availability zone.
         slots: Requests that it runs at once.
         epoch: Fencing number of the group; 0 for plain services.
-        is_missing: Whether control nodes miss its heartbeats.
+        is_missing: Whether coordinators miss its heartbeats.
         born: When its present incarnation started, in Unix milliseconds; 0 if
             unknown.
     """
--- a/src/hickorylead/forwarding/ranks.py
+++ b/src/hickorylead/forwarding/ranks.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from hickorylead.forwarding import state
 
-# Engines accept the ranks 0, which goes first, to this one.
+# Engines accept ranks from 0, the most urgent, up to this one.
 LAST_RANK = 9
 # Each priority of routes or workspaces has two ranks, so that a resumed stream
 # goes before new requests of its priority but never before a more urgent one.
--- a/src/hickorylead/forwarding/refusals.py
+++ b/src/hickorylead/forwarding/refusals.py
@@ -16,7 +16,7 @@
 WAIT_SHARE = 0.4
 # Retry time for a service whose replicas are all full, in seconds: a few of
 # their requests end in that time.
-FULL_RETRY_S = 0.4
+REPLICAS_FULL_RETRY_S = 0.4
 # Retry time for a service without any replica, in seconds: a new group is
 # formed in about a second.
 NO_REPLICA_RETRY_S = 0.8
@@ -36,20 +36,22 @@
     return now - pending.arrived_at < wait_s
 
 
-def describe_no_choice(
+def refuse_without_choice(
     pending: state.PendingRequest, chosen: choice_module.NoChoice
 ) -> events.Refuse:
     """Returns the refusal of a request that no replica can accept."""
     if chosen.withheld is not None:
-        return _refuse(pending, "limited", chosen.permit_s or FULL_RETRY_S)
+        return _refuse(
+            pending, "limited", chosen.permit_s or REPLICAS_FULL_RETRY_S
+        )
     if chosen.is_full:
-        return _refuse(pending, "overloaded", FULL_RETRY_S)
+        return _refuse(pending, "overloaded", REPLICAS_FULL_RETRY_S)
     if chosen.pause_s:
         return _refuse(pending, "paused", chosen.pause_s)
     return _refuse(pending, "no_replica", NO_REPLICA_RETRY_S)
 
 
-def describe_block(
+def refuse_blocked(
     pending: state.PendingRequest, left_s: float
 ) -> events.Refuse:
     """Returns the refusal of a request that ended the servers that ran it.
@@ -64,11 +66,11 @@
     )
 
 
-def describe_failure(
+def refuse_after_failure(
     pending: state.PendingRequest, reason: str
 ) -> events.Refuse:
     """Returns the refusal of a request whose attempts all failed."""
-    retry_s = None if reason == "deadline" else FULL_RETRY_S
+    retry_s = None if reason == "deadline" else REPLICAS_FULL_RETRY_S
     return _refuse(pending, reason, retry_s)
 
 
--- a/src/hickorylead/forwarding/replica_directory.py
+++ b/src/hickorylead/forwarding/replica_directory.py
@@ -41,7 +41,7 @@
         document = self._document
         if document is None:
             return
-        versions = (self._registry.changes, document.version)
+        versions = (self._registry.change_count, document.version)
         if versions == self._built_versions:
             return
         self._built_versions = versions
--- a/src/hickorylead/forwarding/stalls.py
+++ b/src/hickorylead/forwarding/stalls.py
@@ -39,7 +39,7 @@
 # Added to the limit, in seconds, for requests that wait for their first event
 # at a replica without other requests: any first event takes about 120 ms.
 FIRST_EVENT_ALLOWANCE_S = 0.4
-# For STARTUP_S seconds after its start, a gateway extends the limit by
+# For STARTUP_S seconds after its start, a gateway multiplies the limit by
 # STARTUP_FACTOR. It has no reports yet of the requests that other gateways
 # sent, and after a power failure all gateways send their backlog at once. A
 # batch that prefills such a backlog sends events every 0.27 s (5 steps of 2,048
@@ -93,7 +93,7 @@
 
 
 def find_startup_factor(started_at: float, now: float) -> float:
-    """Returns the factor by which a gateway's stall limits are extended.
+    """Returns the factor by which a gateway's stall limits are multiplied.
 
     Args:
         started_at: When the gateway started.
--- a/src/hickorylead/forwarding/state.py
+++ b/src/hickorylead/forwarding/state.py
@@ -22,7 +22,7 @@
         running: Own requests that were running on the replica.
         load_age_s: Age of its last load report, in seconds; None if none.
         limit_per_s: Rate limit that it had named by then; None if none.
-        paused: Number of replicas that were paused.
+        paused_count: Number of replicas that were paused.
     """
 
     candidates: int = 0
@@ -30,7 +30,7 @@
     running: int = 0
     load_age_s: float | None = None
     limit_per_s: float | None = None
-    paused: int = 0
+    paused_count: int = 0
 
 
 @attrs.define
--- a/src/hickorylead/notices/messages.py
+++ b/src/hickorylead/notices/messages.py
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class LeaveNews:
-    """Leaving servers that control nodes still list as ready.
+    """Leaving servers that coordinators still list as ready.
 
     Attributes:
         sender: The gateway.
--- a/src/hickorylead/notices/notice_reporter.py
+++ b/src/hickorylead/notices/notice_reporter.py
@@ -13,8 +13,8 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# A leaving server is reported again at this interval, in seconds, until control
-# nodes list it as leaving too.
+# A leaving server is reported again at this interval, in seconds, until
+# coordinators list it as leaving too.
 REPORT_PERIOD_S = 0.5
 
 
@@ -33,7 +33,7 @@
         Args:
             node: Name of the gateway.
             notices: Notices that the gateway received.
-            registry: Backend servers, as reported by control nodes.
+            registry: Backend servers, as reported by coordinators.
         """
         self._node = node
         self._notices = notices
@@ -41,19 +41,21 @@
         self._reported_leaves: set[messages.Leave] = set()
         self._next_report_at = -1e9
 
-    def collect_messages(self, home: str, now: float) -> list[Sent]:
+    def collect_messages(self, home_coordinator: str, now: float) -> list[Sent]:
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's home coordinator; empty if it has none.
+            home_coordinator: Its name; empty if the gateway has none.
             now: Present time.
         """
-        if not home or not len(self._notices):
+        if not home_coordinator or not len(self._notices):
             return []
         sent: list[Sent] = []
         pauses = self._notices.pop_unreported(now)
         if pauses:
-            sent.append((home, messages.PauseNews(self._node, pauses)))
+            sent.append(
+                (home_coordinator, messages.PauseNews(self._node, pauses))
+            )
         leaves = self._list_unconfirmed(now)
         if leaves and (
             now >= self._next_report_at or leaves - self._reported_leaves
@@ -62,12 +64,12 @@
             update = messages.LeaveNews(
                 self._node, tuple(sorted(leaves, key=lambda x: x.server))
             )
-            sent.append((home, update))
+            sent.append((home_coordinator, update))
         self._reported_leaves = leaves
         return sent
 
     def _list_unconfirmed(self, now: float) -> set[messages.Leave]:
-        """Returns the leaving servers that control nodes list as ready."""
+        """Returns the leaving servers that coordinators list as ready."""
         return {
             leave
             for leave in self._notices.list_leaving(now)
--- a/src/hickorylead/notices/pause_relay.py
+++ b/src/hickorylead/notices/pause_relay.py
@@ -76,7 +76,7 @@
         ]
 
     def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
-        """Returns all pauses for a gateway that started or changed home."""
+        """Returns all pauses for a gateway with a new home coordinator."""
         pauses = self._pauses.describe_all(now)
         if not pauses:
             return []
--- a/src/hickorylead/placement/planner.py
+++ b/src/hickorylead/placement/planner.py
@@ -118,7 +118,11 @@
         return self._issued
 
     def is_settled(self) -> bool:
-        """Returns whether nothing is in progress that time could change."""
+        """Returns whether no order is pending and every group is settled.
+
+        A group is settled if it has been ready, is complete and is not
+        draining.
+        """
         return not self._pending and all(
             group.was_ready
             and group.broken_since is None
--- a/src/hickorylead/platform/control.py
+++ b/src/hickorylead/platform/control.py
@@ -65,7 +65,7 @@
         self, request: requests.Request
     ) -> responses.Response:
         body = await _read_body(request, MAX_HEARTBEAT_BYTES)
-        match servers.decode_born(body or b""):
+        match servers.decode_start_time(body or b""):
             case result.Success(born):
                 self._process.deregister(request.path_params["name"], born)
                 return _respond({})
--- a/src/hickorylead/platform/headers.py
+++ b/src/hickorylead/platform/headers.py
@@ -31,7 +31,7 @@
 _RANK = b"urgency-class"
 _FAULTY_SERVER = b"at-server"
 
-# Headers of a single connection, and those that the gateway removes or sets.
+# Hop-by-hop headers, and headers that the gateway removes or sets.
 _NOT_FORWARDED = frozenset(
     {
         b"connection",
--- a/src/hickorylead/platform/servers.py
+++ b/src/hickorylead/platform/servers.py
@@ -1,4 +1,4 @@
-"""Codec of backend servers' heartbeats, reports and orders."""
+"""Codec of heartbeats and reports from backend servers, and orders to them."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         return result.Failure(f"cannot be decoded: {error}")
 
 
-def decode_born(body: bytes) -> result.Result[int, str]:
+def decode_start_time(body: bytes) -> result.Result[int, str]:
     """Returns the start time of the incarnation; 0 if not specified."""
     if not body.strip():
         return result.Success(0)
@@ -149,7 +149,8 @@
         try:
             fields = values.expect_object(orjson.loads(body))
             return server_codec.ServerReport(
-                # In reports this counts orders; in heartbeats, heartbeats.
+                # In a report, `Sequence` is the number of accepted orders; in a
+                # heartbeat, it is the number of heartbeats.
                 accepted=values.expect_integer(fields["Sequence"]),
                 born=values.expect_integer(fields.get("born", 0)),
                 member=_decode_member(fields.get("group")),
--- a/src/hickorylead/ratelimits/allocator.py
+++ b/src/hickorylead/ratelimits/allocator.py
@@ -27,8 +27,8 @@
 # If a limit is new to this coordinator but has been known to others for longer
 # than this, another coordinator may have granted permits that are still in use.
 # The bucket then starts in debt by what the server accepts in this time, in
-# seconds: such a coordinator is treated as lost after 1.3 s, and what it
-# granted before is within the limit.
+# seconds: a lost coordinator is replaced as owner after 1.3 s, and the debt
+# covers the permits that it granted within the limit in that time.
 TAKEOVER_S = 1.5
 # Without recent contact with a leader the network may be partitioned, with an
 # owner of the server on either side; each then grants this share of the limit.
@@ -45,8 +45,8 @@
 # those that were refused before.
 NEED_RETENTION_S = 1.0
 RESERVED_SHARE = 0.5
-# Maximum time after which a gateway is told to request permits again, in
-# seconds.
+# Longest time that a reply makes a gateway wait before it requests permits
+# again, in seconds.
 MAX_WAIT_S = 10.0
 
 
@@ -79,7 +79,7 @@
 
     def allocate(
         self,
-        ask: messages.Ask,
+        permit_request: messages.Ask,
         known: limit_table.KnownLimit,
         *,
         has_recent_leader: bool,
@@ -88,38 +88,40 @@
         """Returns the permits that a gateway gets.
 
         Args:
-            ask: The gateway's request for permits.
+            permit_request: The gateway's request for permits.
             known: The server's limit.
             has_recent_leader: Whether this coordinator had recent contact with
                 a leader.
             now: Present time.
         """
-        server = ask.limit.server
+        server = permit_request.limit.server
         share = 1.0 if has_recent_leader else PARTITION_SHARE
         per_s = share * max(known.per_s, MIN_RATE_PER_S)
         bucket = self._fill(server, known, per_s, now)
         capacity = _get_capacity(per_s)
-        bucket.tokens = min(capacity, bucket.tokens + max(0, ask.returned))
+        bucket.tokens = min(
+            capacity, bucket.tokens + max(0, permit_request.returned)
+        )
         reserved = 0.0
-        if ask.is_needed:
+        if permit_request.is_needed:
             bucket.needed_at = now
         elif now - bucket.needed_at < NEED_RETENTION_S:
             reserved = RESERVED_SHARE * capacity
-        wanted = min(MAX_PERMITS, max(0, ask.wanted))
+        wanted = min(MAX_PERMITS, max(0, permit_request.wanted))
         count = min(wanted, max(0, int(bucket.tokens - reserved)))
         bucket.tokens -= count
         unmet = wanted - count
         lease_ms = int(1000 * get_lease_s(known.per_s))
         if not unmet:
             return messages.Permits(server, known.born, count, lease_ms)
-        if ask.is_needed:
+        if permit_request.is_needed:
             bucket.unmet += unmet
         wait_s = (max(1.0, bucket.unmet) - bucket.tokens) / per_s
         wait_ms = int(1000 * min(MAX_WAIT_S, max(0.0, wait_s)))
         return messages.Permits(server, known.born, count, lease_ms, wait_ms)
 
     def prune(self, now: float) -> None:
-        """Drops the buckets that have not been used for long."""
+        """Drops the buckets that have not been used for a long time."""
         for server, bucket in list(self._buckets.items()):
             if now - bucket.filled_at > limit_table.RETENTION_S:
                 del self._buckets[server]
--- a/src/hickorylead/ratelimits/messages.py
+++ b/src/hickorylead/ratelimits/messages.py
@@ -48,7 +48,7 @@
     """A gateway's request for permits for one server.
 
     Attributes:
-        limit: The limit, as the gateway knows it.
+        limit: The limit, as the gateway last received it.
         wanted: Number of permits that it could use now.
         is_needed: Whether a request that no other server can take waits for a
             permit.
@@ -63,7 +63,9 @@
 
 @attrs.frozen
 class PermitRequest:
-    """A gateway's request for permits, forwarded to coordinators by its home.
+    """A gateway's request for permits.
+
+    Its home coordinator forwards the parts for servers of other owners.
 
     Attributes:
         gateway: The gateway.
--- a/src/hickorylead/ratelimits/permit_broker.py
+++ b/src/hickorylead/ratelimits/permit_broker.py
@@ -33,7 +33,7 @@
 
 
 class PermitBroker:
-    """The limits that one coordinator knows, and the permits it grants."""
+    """The limits that a coordinator has received, and the permits it grants."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
 
         Args:
             node: Name of the coordinator.
-            registry: Backend servers that it knows.
+            registry: Backend servers known to it.
             peers: The other coordinators.
-            gateways: The gateways that it knows.
+            gateways: Gateways known to it.
         """
         self._node = node
         self._registry = registry
@@ -95,25 +95,30 @@
                 a leader.
             now: Present time.
         """
-        # The gateway may know a limit that its home coordinator has not
-        # received.
-        limits = tuple(ask.limit for ask in request.asks)
+        # The gateway may have received a limit that its home coordinator has
+        # not received.
+        limits = tuple(permit_request.limit for permit_request in request.asks)
         sent = self.merge_limits(messages.LimitNews(sender, limits), now)
-        asks = collections.defaultdict(list)
-        for ask in request.asks:
+        permit_requests = collections.defaultdict(list)
+        for permit_request in request.asks:
             # A forwarded request is decided here, whichever coordinator owns
             # the server by now: otherwise it could be forwarded in a circle.
             is_forwarded = sender != request.gateway
-            node = self._node if is_forwarded else self._find_owner(ask, now)
-            asks[node].append(ask)
-        own_asks = asks.pop(self._node, [])
+            node = (
+                self._node
+                if is_forwarded
+                else self._find_owner(permit_request, now)
+            )
+            permit_requests[node].append(permit_request)
+        own_requests = permit_requests.pop(self._node, [])
         sent += [
-            (node, attrs.evolve(request, asks=tuple(other_asks)))
-            for node, other_asks in asks.items()
+            (node, attrs.evolve(request, asks=tuple(other_requests)))
+            for node, other_requests in permit_requests.items()
         ]
-        if own_asks:
+        if own_requests:
             permits = tuple(
-                self._allocate(ask, has_recent_leader, now) for ask in own_asks
+                self._allocate(permit_request, has_recent_leader, now)
+                for permit_request in own_requests
             )
             reply = messages.PermitReply(
                 request.gateway, request.number, permits
@@ -122,7 +127,9 @@
         return sent
 
     def make_initial_update(self, gateway: str, now: float) -> list[Sent]:
-        """Returns all limits for a gateway that started or changed home.
+        """Returns all limits for a gateway with a new home coordinator.
+
+        The gateway has started, or has changed its home coordinator.
 
         It would otherwise send requests to servers without permits until each
         server reports its limit to it.
@@ -149,31 +156,33 @@
         update = messages.LimitNews(self._node, self._table.describe_all(now))
         return [(node, update) for node in targets]
 
-    def _find_owner(self, ask: messages.Ask, now: float) -> str:
+    def _find_owner(self, permit_request: messages.Ask, now: float) -> str:
         """Returns the coordinator that grants the permits of a server.
 
         This is one of the server's own zone while any is alive: when that zone
         is partitioned from the others, the gateways that reach the server also
         reach this coordinator.
         """
-        server = ask.limit.server
+        server = permit_request.limit.server
         known = self._registry.instances.get(server)
         zone = known.zone if known else nodes.get_zone(self._node)
         return self._peers.find_owner(zone, server, now)
 
     def _allocate(
-        self, ask: messages.Ask, has_recent_leader: bool, now: float
+        self, permit_request: messages.Ask, has_recent_leader: bool, now: float
     ) -> messages.Permits:
-        limit = ask.limit
+        limit = permit_request.limit
         known = self._table.find(limit.server, limit.born, now)
         if known is None:
-            # The server has stopped naming a limit, and the gateway is sent
-            # that update separately: until then all the permits that it wants
-            # are granted.
+            # The server has stopped naming a limit, the known limit belongs to
+            # another incarnation, or the last report is older than
+            # `limit_table.RETENTION_S`. Updates of limits are sent to the
+            # gateway separately: until then all the permits that it wants are
+            # granted.
             lease_ms = int(1000 * allocator.LEASE_S)
             return messages.Permits(
-                limit.server, limit.born, ask.wanted, lease_ms
+                limit.server, limit.born, permit_request.wanted, lease_ms
             )
         return self._allocator.allocate(
-            ask, known, has_recent_leader=has_recent_leader, now=now
+            permit_request, known, has_recent_leader=has_recent_leader, now=now
         )
--- a/src/hickorylead/ratelimits/permit_pool.py
+++ b/src/hickorylead/ratelimits/permit_pool.py
@@ -32,7 +32,7 @@
 # local share of each limit: its home coordinator and the next one are lost, or
 # the gateway is partitioned from them, and servers that it reaches would stay
 # idle. Another home coordinator is found in 1.2 s.
-LOCAL_BUDGET_AFTER_S = 1.5
+LOCAL_SHARE_AFTER_S = 1.5
 # Limits that servers named are reported to the home coordinator again at this
 # interval, in seconds.
 REPORT_PERIOD_S = 5.0
@@ -66,7 +66,7 @@
 
 
 class PermitPool:
-    """The limits that a gateway knows, and its permits."""
+    """The limits that a gateway has received, and its permits."""
 
     def __init__(self, node: str, *, first: int, rng: random.Random) -> None:
         """Makes a pool without limits and permits.
@@ -90,7 +90,7 @@
         self._next_report_at = -1e9
         self._has_unreported = False
         self._has_urgent_demand = False
-        self._lacks_home = False
+        self._lacks_home_coordinator = False
         self._received_at: dict[str, float] = {}
         self._gateway_count = budget.INITIAL_GATEWAY_COUNT
 
@@ -185,32 +185,35 @@
         self._has_urgent_demand = self._has_urgent_demand or is_needed
 
     def get_wait_remaining_s(self, replica: model.Replica, now: float) -> float:
-        """Returns when there may be a permit, in seconds; 0 if unknown."""
+        """Returns how long until a permit may be available, in seconds.
+
+        0 if unknown.
+        """
         return max(0.0, self._find(replica.name).denied_until - now)
 
     # Messages to and from coordinators.
 
     def collect_messages(
-        self, home: str, now: float
+        self, home_coordinator: str, now: float
     ) -> list[tuple[str, messages.Message]]:
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home: The gateway's home coordinator; empty if it has none.
+            home_coordinator: Its name; empty if the gateway has none.
             now: Present time.
         """
         if not len(self.table):
             return []
         self._has_urgent_demand = False
-        if not home:
-            self._lacks_home = True
+        if not home_coordinator:
+            self._lacks_home_coordinator = True
             self._start_reply_timer(now)
             return []
-        if self._lacks_home:
+        if self._lacks_home_coordinator:
             # The gateway stops using its local shares: otherwise all gateways
             # would use theirs in addition to the permits of the coordinators
             # that are back.
-            self._lacks_home = False
+            self._lacks_home_coordinator = False
             self._no_reply_since = None
         sent: list[tuple[str, messages.Message]] = []
         if self._has_unreported or now >= self._next_report_at:
@@ -219,10 +222,10 @@
             limits = self._describe_received(now)
             if limits:
                 update = messages.LimitNews(self._node, limits)
-                sent.append((home, update))
-        asks = self._collect_asks(now)
-        if asks:
-            if now - self._last_request_at > LOCAL_BUDGET_AFTER_S:
+                sent.append((home_coordinator, update))
+        permit_requests = self._collect_requests(now)
+        if permit_requests:
+            if now - self._last_request_at > LOCAL_SHARE_AFTER_S:
                 # Earlier requests without a reply say nothing about the
                 # present: a coordinator may have been lost just then and been
                 # replaced since.
@@ -231,8 +234,10 @@
             self._start_reply_timer(now)
             number = next(self._numbers)
             self._request_times[number] = now
-            request = messages.PermitRequest(self._node, number, tuple(asks))
-            sent.append((home, request))
+            request = messages.PermitRequest(
+                self._node, number, tuple(permit_requests)
+            )
+            sent.append((home_coordinator, request))
         return sent
 
     def handle_reply(self, reply: messages.PermitReply, now: float) -> bool:
@@ -291,9 +296,9 @@
             now,
         )
 
-    def _collect_asks(self, now: float) -> list[messages.Ask]:
+    def _collect_requests(self, now: float) -> list[messages.Ask]:
         is_due = now >= self._next_request_at
-        asks = []
+        permit_requests = []
         for server, account in self._accounts.items():
             if not account.wanted and not (is_due and account.returned):
                 continue
@@ -306,7 +311,7 @@
             if not limit or not limit[0].is_named:
                 account.wanted = 0
                 continue
-            asks.append(
+            permit_requests.append(
                 messages.Ask(
                     limit[0],
                     account.wanted,
@@ -317,9 +322,9 @@
             account.requested_at = now
             account.wanted, account.is_needed = 0, False
             account.returned = 0
-        if is_due and asks:
+        if is_due and permit_requests:
             self._next_request_at = now + REQUEST_PERIOD_S
-        return asks
+        return permit_requests
 
     def _has_local_permit(
         self, account: _Account, known: limit_table.KnownLimit, now: float
@@ -327,12 +332,12 @@
         """Returns whether the local share allows sending a request."""
         since = self._no_reply_since
         is_requesting = (
-            self._lacks_home
-            or now - self._last_request_at <= LOCAL_BUDGET_AFTER_S
+            self._lacks_home_coordinator
+            or now - self._last_request_at <= LOCAL_SHARE_AFTER_S
         )
         if (
             since is None
-            or now - since < LOCAL_BUDGET_AFTER_S
+            or now - since < LOCAL_SHARE_AFTER_S
             or not is_requesting
         ):
             account.local_updated_at = None
@@ -341,7 +346,7 @@
             # Gateways that lose their coordinators do so at the same time. With
             # equal initial tokens, all would send at the same moment.
             account.local_tokens = self._rng.random()
-            account.local_updated_at = since + LOCAL_BUDGET_AFTER_S
+            account.local_updated_at = since + LOCAL_SHARE_AFTER_S
         per_s = max(known.per_s, allocator.MIN_RATE_PER_S) / self._gateway_count
         elapsed_s = now - account.local_updated_at
         account.local_updated_at = now
--- a/src/hickorylead/requests/dispatcher.py
+++ b/src/hickorylead/requests/dispatcher.py
@@ -642,7 +642,7 @@
     def _attach(
         self, pending: state.PendingRequest, attempt: state.Attempt, now: float
     ) -> list[Effect]:
-        """Attaches to a stream without frames over a new connection.
+        """Attaches over a new connection to a stream whose frames have stopped.
 
         A network component may have lost the state of the connection while
         the server continues. Only if the new connection times out as well is
--- a/src/hickorylead/roles/bootstrap.py
+++ b/src/hickorylead/roles/bootstrap.py
@@ -49,7 +49,9 @@
         query = messages.IdentityRequest(self._node)
         return [messages.Send(node, query) for node in self._controls]
 
-    def receive(self, reply: messages.IdentityReply) -> Decision | None:
+    def handle_identity_reply(
+        self, reply: messages.IdentityReply
+    ) -> Decision | None:
         """Handles a reply; decides once every control process has replied.
 
         All must reply: a control process that was left out could belong to an
--- a/src/hickorylead/roles/control.py
+++ b/src/hickorylead/roles/control.py
@@ -425,7 +425,7 @@
     def _handle_identity(
         self, reply: messages.IdentityReply, now: float
     ) -> list[interface.ControlEffect]:
-        decision = self._bootstrap.receive(reply)
+        decision = self._bootstrap.handle_identity_reply(reply)
         if decision is None or self._voter is None:
             return []
         effects: list[interface.ControlEffect] = []
--- a/src/hickorylead/roles/coordinator.py
+++ b/src/hickorylead/roles/coordinator.py
@@ -1,4 +1,4 @@
-"""The reducer of a coordinator, a control node that gateways connect to.
+"""The reducer of a coordinator, a node that gateways connect to.
 
 It is a voter of the configuration log, receives heartbeats of backend servers,
 forms and repairs their groups, and sends gateways the updates that they need.
@@ -230,7 +230,7 @@
                     self._record_draining(name, born, now) if is_leaving else []
                 )
 
-    # Time.
+    # Periodic work.
 
     def _tick(self, now: float) -> list[CoordinatorEffect]:
         effects: list[CoordinatorEffect] = []
@@ -264,8 +264,8 @@
         if now < self._next_save:
             return []
         effects: list[CoordinatorEffect] = []
-        if self.registry.changes != self._saved_changes:
-            self._saved_changes = self.registry.changes
+        if self.registry.change_count != self._saved_changes:
+            self._saved_changes = self.registry.change_count
             known = tuple(self.registry.list_present())
             effects.append(events.SaveInstances(known))
         if self.crashes.digest != self._saved_crash_digest:
@@ -286,9 +286,10 @@
         # its hello arrives, so any sender that is no known peer counts as one.
         is_forwarded = update.sender in self.peers.known
         others = [] if is_forwarded else self.peers.list_alive(now)
-        # Each lost run is reported twice, and again to a new home. Only the
-        # first report of a run has the server probed: one that replied then is
-        # alive, and a repeated report needs no further probe.
+        # Each lost run is reported twice, and again to a new home
+        # coordinator. Only the first report of a run has the server probed: one
+        # that replied then is alive, and a repeated report needs no further
+        # probe.
         servers = self.crashes.list_new_servers(update)
         effects = self._send_all(self.crashes.merge(update, others, now))
         return [*effects, *self._supervisor.suspect_servers(servers, now)]
@@ -340,7 +341,8 @@
                     for n in self._alive_sequences
                 ),
                 tuple(
-                    self.registry.find_born(n) for n in self._alive_sequences
+                    self.registry.find_start_time(n)
+                    for n in self._alive_sequences
                 ),
             )
             self._alive_sequences = {}
@@ -494,7 +496,7 @@
         ):
             if self.registry.touch(name, sequence, since, now, born=born):
                 recovered.append(self.registry.instances[name])
-            if self.registry.find_born(name) == born:
+            if self.registry.find_start_time(name) == born:
                 self._supervisor.clear_suspicion(name)
         if not recovered:
             return []
@@ -510,7 +512,7 @@
         )
         self.peers.handle_hello(hello, now)
         if hello.has_traffic:
-            # Only home coordinators learn of requests from gateways.
+            # Gateways report requests only to their home coordinator.
             self._supervisor.record_traffic()
         effects = self._send_all(
             self.crashes.sync_coordinator(
@@ -531,7 +533,9 @@
     ) -> list[CoordinatorEffect]:
         if hello.loads:
             self._supervisor.record_traffic()
-        is_new = not self.gateways.is_home_to(hello.node, hello.boot)
+        is_new = not self.gateways.is_home_coordinator_of(
+            hello.node, hello.boot
+        )
         effects = self._send_all(
             self.crashes.sync_gateway(
                 hello.node, hello.blocked, is_new=is_new, now=now
--- a/src/hickorylead/roles/entry.py
+++ b/src/hickorylead/roles/entry.py
@@ -87,9 +87,9 @@
         )
         self._table = table_module.ReplicaTable()
         self._health = health.HealthTracker()
-        # An entry detects itself which replicas ended, from the tables of all
-        # zones, so it acts as its own home coordinator. Control processes
-        # merge what all entries detected.
+        # An entry finds out from the tables of all zones which replicas ended,
+        # without a coordinator, so it acts as its own home coordinator. Control
+        # processes merge what all entries detected.
         self._guard = crash_guard_module.CrashGuard(identity.node)
         self._crashes = crash_tracker_module.CrashTracker(identity.node)
         self._reported_crashes: set[crash_history_module.RunKey] = set()
--- a/src/hickorylead/roles/gateway.py
+++ b/src/hickorylead/roles/gateway.py
@@ -56,19 +56,20 @@
 # seconds: with six of them and 71 gateways, a hello and its reply each second
 # were a third of all messages. A gateway that lost its home coordinator sends
 # hellos to all of them at once.
-OTHER_HELLO_PERIOD_S = 8.0
-# The same period, in seconds, while the home coordinator has no leader or a
-# replica of another zone is stalled: changes must arrive within 2 s.
-OTHER_HELLO_URGENT_PERIOD_S = 0.5
+OTHER_COORDINATOR_HELLO_PERIOD_S = 8.0
+# Period between these hellos, in seconds, while the home coordinator has no
+# leader or a replica of another zone is stalled: changes must arrive within
+# 2 s.
+OTHER_COORDINATOR_HELLO_URGENT_PERIOD_S = 0.5
 # A coordinator without a message for this time, in seconds, is not used as home
 # coordinator. It sends the loads of its zone every 0.25 s, but may block on its
 # disk between two of them.
-HOME_TIMEOUT_S = 1.2
+HOME_COORDINATOR_TIMEOUT_S = 1.2
 # A home coordinator without a leader for this time, in seconds, is replaced by
 # one that has a leader. It is partitioned from the others and receives neither
 # their updates nor a new configuration. After the loss of a leader the next one
 # is elected in about a second.
-HOME_NOT_FRESH_TIMEOUT_S = 1.2
+HOME_COORDINATOR_STALE_TIMEOUT_S = 1.2
 # At its start a gateway applies a configuration from a coordinator that may be
 # behind only after this time, in seconds: one that is up to date replies
 # sooner.
@@ -78,7 +79,8 @@
 INSTANCE_RETENTION_S = 60.0
 CLEANUP_PERIOD_S = 5.0
 # Shortest time between two reports of servers at fault, in seconds: a group
-# that lost a member refuses every request.
+# that lost a member refuses every request, and without this limit its refusals
+# would cause a report at each tick.
 FAULTY_SERVERS_PERIOD_S = 1.0
 
 GatewayEvent: TypeAlias = (
@@ -169,11 +171,11 @@
         self._next_faulty_servers = now
         self._reported_stalled: set[str] = set()
         self._next_other_hello = now
-        self._home = ""
+        self._home_coordinator = ""
         # Which coordinators have a leader, as they last reported; since when
         # the home coordinator has none.
         self._freshness: dict[str, bool] = {}
-        self._home_not_fresh_since: float | None = None
+        self._home_coordinator_stale_since: float | None = None
         self._stopping = False
 
     @property
@@ -256,40 +258,49 @@
                 effects = [*self._forwarder.handle(event, now)]
                 if self._permits.has_urgent_demand:
                     # A request waits for permits: the next tick is too late.
-                    home = self._find_home(now)
-                    return [*effects, *self._send_permit_messages(home, now)]
+                    home_coordinator = self._find_home_coordinator(now)
+                    return [
+                        *effects,
+                        *self._send_permit_messages(home_coordinator, now),
+                    ]
                 return [*effects]
 
     def _tick(self, now: float) -> list[GatewayEffect]:
         effects: list[GatewayEffect] = [*self._forwarder.tick(now)]
         stalled = set(self._health.list_stalled(now))
         new_stalled = stalled - self._reported_stalled
-        home = self._find_home(now)
+        home_coordinator = self._find_home_coordinator(now)
         effects += [
             interface.Send(*sent)
-            for sent in self._guard.collect_messages(home, now)
+            for sent in self._guard.collect_messages(home_coordinator, now)
         ]
-        effects += self._send_permit_messages(home, now)
+        effects += self._send_permit_messages(home_coordinator, now)
         effects += [
             interface.Send(*sent)
-            for sent in self._notice_reporter.collect_messages(home, now)
+            for sent in self._notice_reporter.collect_messages(
+                home_coordinator, now
+            )
         ]
-        if home and now >= self._next_faulty_servers:
-            effects += self._report_faulty_servers(home, now)
+        if home_coordinator and now >= self._next_faulty_servers:
+            effects += self._report_faulty_servers(home_coordinator, now)
         # A change of the home coordinator sends hellos at once: until then no
         # coordinator sends updates to this gateway.
-        if now >= self._next_hello or new_stalled or home != self._home:
+        if (
+            now >= self._next_hello
+            or new_stalled
+            or home_coordinator != self._home_coordinator
+        ):
             self._reported_stalled = stalled
-            if new_stalled and home:
+            if new_stalled and home_coordinator:
                 report = messages.StallNews(
                     self._identity.node, tuple(sorted(new_stalled))
                 )
-                effects.append(interface.Send(home, report))
+                effects.append(interface.Send(home_coordinator, report))
             is_idle = self.routes and not self._forwarder.count_pending()
             self._next_hello = now + (
                 IDLE_HELLO_PERIOD_S if is_idle else HELLO_PERIOD_S
             )
-            effects += self._send_hellos(home, now)
+            effects += self._send_hellos(home_coordinator, now)
         if (
             self._stale_update is not None
             and now - self._started_at > STALE_WAIT_S
@@ -306,7 +317,7 @@
         return effects
 
     def _report_faulty_servers(
-        self, home: str, now: float
+        self, home_coordinator: str, now: float
     ) -> list[GatewayEffect]:
         """Requests probes of the servers that refusals named as faulty.
 
@@ -318,24 +329,28 @@
             return []
         self._next_faulty_servers = now + FAULTY_SERVERS_PERIOD_S
         return [
-            interface.Send(home, messages.StallNews(self._identity.node, names))
+            interface.Send(
+                home_coordinator, messages.StallNews(self._identity.node, names)
+            )
         ]
 
     def _send_permit_messages(
-        self, home: str, now: float
+        self, home_coordinator: str, now: float
     ) -> list[GatewayEffect]:
         return [
             interface.Send(*sent)
-            for sent in self._permits.collect_messages(home, now)
+            for sent in self._permits.collect_messages(home_coordinator, now)
         ]
 
     # Coordinators.
 
-    def _send_hellos(self, home: str, now: float) -> list[GatewayEffect]:
+    def _send_hellos(
+        self, home_coordinator: str, now: float
+    ) -> list[GatewayEffect]:
         known = set(self._coordinators.values())
         # A coordinator that only others have reported is sent hellos by its
-        # address: connections learn the route to a node name only from that
-        # node's own messages.
+        # address: connections resolve a node name only from that node's own
+        # messages.
         targets = [
             *(
                 node if node in self._last_received_at else f"@{address}"
@@ -343,27 +358,33 @@
             ),
             *(f"@{s}" for s in self._identity.seeds if s not in known),
         ]
-        if home != self._home:
-            self._home, self._home_not_fresh_since = home, None
-        is_home_fresh = self._freshness.get(home, False)
+        if home_coordinator != self._home_coordinator:
+            self._home_coordinator, self._home_coordinator_stale_since = (
+                home_coordinator,
+                None,
+            )
+        is_home_coordinator_fresh = self._freshness.get(home_coordinator, False)
         document = self.document
         effects: list[GatewayEffect] = []
         stalled = self._health.list_stalled(now)
         stalled_zones = self._find_zones(stalled)
         # A gateway that starts with a home coordinator that may be behind sends
         # hellos to all coordinators.
-        may_be_behind = self.routes is None and not is_home_fresh
+        may_be_behind = self.routes is None and not is_home_coordinator_fresh
         is_other_due = (
-            not home or may_be_behind or now >= self._next_other_hello
+            not home_coordinator
+            or may_be_behind
+            or now >= self._next_other_hello
         )
         if is_other_due:
-            self._next_other_hello = now + OTHER_HELLO_PERIOD_S
-        elif not is_home_fresh or stalled_zones - {self._zone}:
+            self._next_other_hello = now + OTHER_COORDINATOR_HELLO_PERIOD_S
+        elif not is_home_coordinator_fresh or stalled_zones - {self._zone}:
             self._next_other_hello = min(
-                self._next_other_hello, now + OTHER_HELLO_URGENT_PERIOD_S
+                self._next_other_hello,
+                now + OTHER_COORDINATOR_HELLO_URGENT_PERIOD_S,
             )
         for node in targets:
-            is_home = node == home
+            is_home = node == home_coordinator
             if not is_home and not is_other_due:
                 continue
             hello = messages.GatewayHello(
@@ -389,7 +410,7 @@
         known = self._registry.instances
         return {known[head].zone for head in heads if head in known}
 
-    def _find_home(self, now: float) -> str:
+    def _find_home_coordinator(self, now: float) -> str:
         """Returns the home coordinator; empty if there is none.
 
         It is the coordinator that sends this gateway its updates.
@@ -401,27 +422,31 @@
         own = [n for n in alive if nodes.get_zone(n) == self._zone]
         pool = [n for n in own if n in fresh] or own or alive
         is_partitioned = (
-            self._home_not_fresh_since is not None
-            and now - self._home_not_fresh_since > HOME_NOT_FRESH_TIMEOUT_S
+            self._home_coordinator_stale_since is not None
+            and now - self._home_coordinator_stale_since
+            > HOME_COORDINATOR_STALE_TIMEOUT_S
         )
         if is_partitioned and fresh and not set(pool) & set(fresh):
             pool = fresh
-        if self._home in pool:
+        if self._home_coordinator in pool:
             # A change of the home coordinator costs a full sync of all servers.
-            return self._home
+            return self._home_coordinator
         return min(pool, default="")
 
     def _is_alive(self, node: str, now: float) -> bool:
-        return now - self._last_received_at.get(node, -1e9) < HOME_TIMEOUT_S
+        return (
+            now - self._last_received_at.get(node, -1e9)
+            < HOME_COORDINATOR_TIMEOUT_S
+        )
 
     def _record_freshness(self, node: str, is_fresh: bool, now: float) -> None:
         self._freshness[node] = is_fresh
-        if node != self._home:
+        if node != self._home_coordinator:
             return
         if is_fresh:
-            self._home_not_fresh_since = None
-        elif self._home_not_fresh_since is None:
-            self._home_not_fresh_since = now
+            self._home_coordinator_stale_since = None
+        elif self._home_coordinator_stale_since is None:
+            self._home_coordinator_stale_since = now
 
     def _list_loads(self) -> tuple[messages.HeadLoad, ...]:
         return tuple(
@@ -442,7 +467,7 @@
             case messages.ZoneLoads(_, loads, is_fresh, gateways):
                 self._apply_loads(loads)
                 self._record_freshness(sender, is_fresh, now)
-                if sender == self._home:
+                if sender == self._home_coordinator:
                     self._forwarder.set_gateway_count(gateways, now)
             case crash_messages.BlockNews():
                 self._guard.apply_blocks(message, now)
@@ -457,7 +482,7 @@
                 return [*self._forwarder.handle_reported_stalls(heads, now)]
             case messages.KnownCoordinators(_, names, addresses, is_fresh):
                 self._record_freshness(sender, is_fresh, now)
-                # A coordinator that has just started knows few others yet.
+                # A coordinator that has just started lists few others yet.
                 alive = {
                     node: address
                     for node, address in self._coordinators.items()
--- a/src/hickorylead/roles/operations.py
+++ b/src/hickorylead/roles/operations.py
@@ -126,7 +126,8 @@
         )
         self._changes[change.change_id] = pending
         if needs_validation:
-            # Only the zones know whether a group fits a fabric domain.
+            # Only the control processes of a zone have the sizes of its fabric
+            # domains.
             return self._query_status(
                 _make_validation_token(change.change_id), now
             )
@@ -176,8 +177,8 @@
         pending.next_send = now + RESEND_PERIOD_S
         target = pending.target
         if not target:
-            # A control process of the zone knows whether a leader can be
-            # reached; a change that it refuses has certainly not been
+            # A control process of the zone can determine whether a leader is
+            # reachable; a change that it refuses has certainly not been
             # accepted.
             self._rotation += 1
             own = self._zone_controls
@@ -314,7 +315,10 @@
     def handle_identity(
         self, reply: messages.IdentityReply
     ) -> list[interface.EntryEffect]:
-        """Forwards the request to the first process with a data folder."""
+        """Forwards the pending bootstrap requests to a control process.
+
+        It is the first one that replies that it has a data folder.
+        """
         if not reply.member:
             return []
         effects: list[interface.EntryEffect] = []
--- a/src/hickorylead/roles/zone_controller.py
+++ b/src/hickorylead/roles/zone_controller.py
@@ -239,7 +239,7 @@
 
     @property
     def downtime_s(self) -> float:
-        """Replica seconds of downtime while this process held the lease."""
+        """Replica-seconds of downtime while this process held the lease."""
         return self._downtime_s
 
     def count_stranded(self) -> int:
--- a/src/hickorylead/routing/table.py
+++ b/src/hickorylead/routing/table.py
@@ -6,10 +6,11 @@
 
 from hickorylead.routing import messages
 
-# Withdrawals retained; each is needed until the next update only.
+# Maximum number of withdrawals that are retained; each is needed only until the
+# next update.
 MAX_WITHDRAWN = 1000
-# Removed groups retained. They show whether a lost run was lost together with
-# its replica. A zone has 120 replicas.
+# Maximum number of removed groups that are retained. They show whether a lost
+# run was lost together with its replica. A zone has 120 replicas.
 MAX_REMOVED = 1000
 
 
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -409,7 +409,7 @@
         timeout_s: float,
     ) -> tuple[calls.Response | calls.NoResponse, bool]:
         """Calls a server; returns the response, and if it refused the call."""
-        born = self.role.registry.find_born(name)
+        born = self.role.registry.find_start_time(name)
         response = await calls.make_call(self._pool, address, call, timeout_s)
         if isinstance(response, calls.NoResponse):
             return response, False
--- a/src/hickorylead/runtime/listener.py
+++ b/src/hickorylead/runtime/listener.py
@@ -86,12 +86,12 @@
 
     def on_url(self, url: bytes) -> None:
         """Handles a chunk of the request target."""
-        self._count_head(len(url))
+        self._count_head_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Handles a header."""
-        self._count_head(len(name) + len(value) + len(": \r\n"))
+        self._count_head_bytes(len(name) + len(value) + len(": \r\n"))
         super().on_header(name, value)
 
     def send_400_response(self, msg: str) -> None:
@@ -124,7 +124,7 @@
         ):
             self.transport.close()
 
-    def _count_head(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self._head_bytes += size
         if self._head_bytes > self.limits.max_header_bytes:
             self._respond_and_close(_HEAD_TOO_LONG_RESPONSE)
--- a/src/hickorylead/runtime/problems.py
+++ b/src/hickorylead/runtime/problems.py
@@ -34,7 +34,7 @@
 def make_response(
     problem: model.Problem, request_id: str = ""
 ) -> responses.Response:
-    """Returns the response of a problem."""
+    """Returns the HTTP response that reports a problem."""
     headers = {}
     if problem.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(problem.retry_after_s))
--- a/src/hickorylead/runtime/process.py
+++ b/src/hickorylead/runtime/process.py
@@ -16,7 +16,7 @@
 
 
 async def wait_for_stop(stop: asyncio.Event | None = None) -> None:
-    """Returns when the process receives SIGTERM or SIGINT.
+    """Returns when the process receives SIGTERM or SIGINT, or `stop` is set.
 
     Args:
         stop: Set by the process itself when it must end.
--- a/src/hickorylead/runtime/upstream.py
+++ b/src/hickorylead/runtime/upstream.py
@@ -231,7 +231,7 @@
         self._task = asyncio.ensure_future(self._connect(data))
 
     def cancel(self) -> None:
-        """Closes the connection, so that the replica stops working."""
+        """Closes the connection, so that the replica stops the request."""
         if self._task is not None:
             self._task.cancel()
         if self._connection is not None:
--- a/src/hickorylead/storage/folder.py
+++ b/src/hickorylead/storage/folder.py
@@ -22,7 +22,7 @@
 _PROBE_FILE = "probe"
 # Size of the probe file: a few of the largest configurations in use.
 PROBE_BYTES = 64 * 1024
-# A snapshot replaces the journal when it has this many records.
+# A journal with this many records is replaced by a snapshot.
 COMPACTION_RECORDS = 1024
 
 
--- a/src/hickorylead/telemetry/metrics.py
+++ b/src/hickorylead/telemetry/metrics.py
@@ -89,7 +89,7 @@
         self._replicas.set({"zone": zone}, count)
 
     def render(self, accept: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Returns the body and headers of a scrape."""
+        """Returns the body and headers of the response to a scrape."""
         return aioprometheus.render(self._registry, accept)
 
 
@@ -144,5 +144,5 @@
             self._groups.set({"service": service, "state": state}, count)
 
     def render(self, accept: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Returns the body and headers of a scrape."""
+        """Returns the body and headers of the response to a scrape."""
         return aioprometheus.render(self._registry, accept)
--- a/src/hickorylead/telemetry/timelines.py
+++ b/src/hickorylead/telemetry/timelines.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Timeline:
-    """The log lines about one request, by time.
+    """The log lines about one request, in order of time.
 
     Attributes:
         lines: Lines about the request and the servers that it was sent to.
--- a/src/hickorylead_standins/batch.py
+++ b/src/hickorylead_standins/batch.py
@@ -91,10 +91,10 @@
     """The running batch and the queue of an engine."""
 
     def __init__(self, speed: Speed) -> None:
-        """Creates an idle engine.
+        """Creates an empty batch with an empty queue.
 
         Args:
-            speed: Its performance parameters.
+            speed: Performance parameters of the engine.
         """
         self.speed = speed
         self.slowdown_factor = 1.0
--- a/src/hickorylead_standins/platform.py
+++ b/src/hickorylead_standins/platform.py
@@ -1,6 +1,6 @@
 """A stand-in for a backend server of the users' platform, on real sockets.
 
-It uses the platform's published calls: it sends heartbeats to a control node,
+It uses the platform's published calls: it sends heartbeats to a coordinator,
 accepts orders, and responds to requests as the test specifies. Like a real
 server, it refuses a request that names another server's id, and every request
 while it is a member of a group without being its head.
@@ -89,7 +89,7 @@
 
 
 class PlatformServer:
-    """A backend server."""
+    """A stand-in for a backend server of the platform."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
             service: Service that it belongs to.
             address: `ip:port`.
             zone: Its zone.
-            controls: Addresses of control nodes.
+            controls: Addresses of coordinators.
             domain: Its fabric domain; empty for a plain one.
         """
         self.name = name
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -640,7 +640,7 @@
 def _(context, fault):
     simulation = context.traffic.simulation
     node = min(simulation.gateways)
-    home_coordinator = simulation.gateways[node]._home
+    home_coordinator = simulation.gateways[node]._home_coordinator
     match fault:
         case "that gateway's home coordinator is stopped":
             announce_leaving_to_one_gateway(context)
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -194,12 +194,12 @@
     actual = servers.PlatformServerCodec().decode_report(report)
     assert (actual.accepted, actual.born) == (2, context.born)
     deregistration = orjson.dumps({"born": context.born})
-    assert servers.decode_born(deregistration).unwrap() == context.born
+    assert servers.decode_start_time(deregistration).unwrap() == context.born
 
 
 @then("a deregistration without a body contains no start time")
 def _(context):
-    assert servers.decode_born(b"").unwrap() == 0
+    assert servers.decode_start_time(b"").unwrap() == 0
 
 
 @then('decoding the heartbeat fails with "{reason}"')
