--- a/src/hickorylead/admission/budget.py
+++ b/src/hickorylead/admission/budget.py
@@ -7,16 +7,18 @@
 RETRY_SHARE = 0.08
 MAX_BALANCE = 20.0
 
-# Share of the operators' limits that gateways use. The rest is a margin:
-# traffic is spread unevenly over gateways, and each may spend its saved balance
-# in the same window as its new deposits.
+# Share of the operators' retry limits that gateways use. The rest is a margin:
+# traffic is spread unevenly over gateways, and each gateway may spend its saved
+# balance in the same window as its new deposits.
 USED_LIMIT_SHARE = 0.75
-# Gateways assumed until a coordinator reports their number. A high number means
-# few retries at the start, which matters for a fraction of a second only.
+# Number of gateways that is assumed until a coordinator reports it. A high
+# number allows each gateway only few retries, but only for a fraction of a
+# second after its start.
 INITIAL_GATEWAY_COUNT = 64
-# The highest number of gateways reported within this time is used. In a
-# partitioned network, the number reported on each side is too low, while the
-# gateways of all sides continue to retry.
+# Time for which a lower reported number of gateways is ignored, in seconds,
+# after the highest number was last reported. In a partitioned network, the
+# number reported on each side is too low, while the gateways of all sides
+# continue to retry.
 GATEWAY_COUNT_RETENTION_S = 60.0
 
 
@@ -84,9 +86,9 @@
 class GatewayRetryBudgets:
     """One gateway's part of the retries allowed to all gateways.
 
-    Each gateway may save its part of the burst. With a fixed number for each,
-    many gateways that lose replicas at the same moment would together make
-    more retries than the limits allow.
+    Each gateway may save its part of the burst. If each gateway could save a
+    fixed number of retries, many gateways that lose replicas at the same moment
+    would together make more retries than the limits allow.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -132,9 +134,10 @@
 
     @property
     def _max_balance(self) -> float:
-        # A balance of less than one retry could never be spent. With more
-        # gateways than burst retries this exceeds the burst; the retries
-        # allowed by the ratio make up for it.
+        # A balance of less than one retry could never be spent, so each gateway
+        # may save at least one. If there are more gateways than burst retries,
+        # the balances together exceed the burst; the retries allowed by the
+        # ratio make up for it.
         return max(
             1.0, USED_LIMIT_SHARE * self._limits.burst / self._gateway_count
         )
--- a/src/hickorylead/admission/queue.py
+++ b/src/hickorylead/admission/queue.py
@@ -80,9 +80,9 @@
     def shed(self) -> QueuedRequest | None:
         """Removes and returns the last request, if the limit is exceeded.
 
-        It is the last one of the least urgent, which belongs to a workspace
-        that requested more than its share. So an urgent request is never
-        refused while a less urgent one is queued.
+        This is the last of the least urgent requests; its workspace requested
+        more than its share. So an urgent request is never refused while a less
+        urgent request is queued.
         """
         if len(self._items) <= self._limit:
             return None
@@ -100,8 +100,8 @@
         level = item.urgency
         self._virtual_time[level] = max(self._virtual_time[level], item.tag)
         if not any(p.urgency == level for p in self._items):
-            # No request of this urgency is queued: tags that are no longer
-            # needed are removed, so that the table stays small.
+            # No request of this urgency is queued any more: finish tags that
+            # are no longer needed are removed, so that their table stays small.
             for flow in [f for f in self._finish_tags if f[0] == level]:
                 if self._finish_tags[flow] <= self._virtual_time[level]:
                     del self._finish_tags[flow]
--- a/src/hickorylead/forwarding/choice.py
+++ b/src/hickorylead/forwarding/choice.py
@@ -19,24 +19,27 @@
     from hickorylead.notices import notice_store as notice_store_module
     from hickorylead.ratelimits import permit_pool as permit_pool_module
 
-# A replica of another zone is chosen only if it is this much faster, in
-# seconds. A round trip takes about 2 ms and traffic between zones is expensive.
-# The rest does no harm: first events arrive some 120 ms before their objective.
+# Added to the estimate for a replica of another zone, in seconds. A round trip
+# between zones takes about 2 ms; the rest of the penalty is there because
+# traffic between zones is expensive. It does no harm to objectives: first
+# events arrive some 120 ms before theirs.
 REMOTE_ZONE_PENALTY_S = 0.012
-# Load reports are late, so all gateways would choose the same replica. Up to
-# this much random time, in seconds, is added to each estimate.
+# Maximum random time that is added to each estimate, in seconds. Load reports
+# are late, so without it all gateways would choose the same replica.
 JITTER_S = 0.006
 # Added to the estimate for each recent failure, in seconds: about half of the
 # shortest objective of streams, so a replica that fails every second request
-# loses nearly all of its traffic while others are free.
+# loses nearly all of its traffic while other replicas are free.
 FAILURE_PENALTY_S = 0.15
-# Added for a replica that is likely to refuse, as for one recent failure.
+# Added to the estimate for a replica that is likely to refuse the request, in
+# seconds: as much as for one recent failure.
 PROBATION_PENALTY_S = FAILURE_PENALTY_S
-# Added for a replica whose heartbeats the coordinators miss, in seconds: only
-# replicas that seem to have stalled are a worse choice.
+# Added to the estimate for a replica from which coordinators receive no
+# heartbeats, in seconds. Only a replica that seems to have stalled is a worse
+# choice.
 MISSING_PENALTY_S = 0.5
-# Requests beyond its slots that may be sent to a replica, as a share of its
-# slots; the replica queues them.
+# Number of requests that may be queued at a replica, as a share of its slots:
+# a replica is full when it has this many requests more than slots.
 QUEUE_SHARE = 0.25
 
 
@@ -48,7 +51,7 @@
         replica: The replica.
         estimate_s: Estimated time to the first token, in seconds.
         candidates: Replicas whose estimates were compared.
-        withheld: A better one, not chosen because no permit is left for it.
+        withheld: A better replica, not chosen because no permit is left for it.
         paused_count: Number of replicas that requested a pause.
     """
 
@@ -66,7 +69,7 @@
     Attributes:
         known: Known replicas, whether or not they can accept it.
         is_full: Whether any replica was passed over because it is full.
-        withheld: The best of those that only lack a permit.
+        withheld: The best of the replicas that only lack a permit.
         permit_s: Time until there may be a permit for it, in seconds; 0 if
             unknown.
         pause_s: Time until the first paused replica accepts requests again, in
@@ -133,7 +136,7 @@
         self._rng = rng
 
     def find(self, name: str) -> model.Replica | None:
-        """Returns the replica whose requests an instance receives."""
+        """Returns the replica for which an instance receives requests."""
         return self._directory.find(name)
 
     def choose(
@@ -166,8 +169,9 @@
         withheld: _Candidate | None = None
         full_count = 0
         max_utilization = 1.0 + QUEUE_SHARE
-        # If all of them seem to have stalled, they are tried anyway: refusing
-        # all requests would turn a few slow passes into an outage.
+        # If all ready replicas seem to have stalled, requests are sent to them
+        # anyway: refusing all requests would turn a few slow passes into an
+        # outage.
         usable = [r for r in ready if not self._health.is_stalled(r, now)]
         for replica in usable or ready:
             if replica.name in avoid:
@@ -189,9 +193,9 @@
                 found = _Candidate(replica, estimate_s)
                 best = found if best is None else min(best, found, key=_rank)
                 continue
-            # The replica named a rate limit that all gateways share. Without
-            # permits each gateway would send at its own rate, many times the
-            # limit in total.
+            # The replica named a rate limit that all gateways share, and this
+            # gateway has no permit left for it. If gateways sent requests
+            # without permits, their total rate would be many times the limit.
             permit_s = self._permits.get_wait_remaining_s(replica, now)
             found = _Candidate(replica, estimate_s, permit_s)
             withheld = (
@@ -255,8 +259,9 @@
         if replica.is_missing:
             estimate_s += MISSING_PENALTY_S
         if engine is None:
-            # Plain services report no processing times. A busy slot counts as
-            # a tenth of the objective, a queued request as half of it.
+            # Plain services report no processing times. If all slots of a
+            # replica are busy, they add a tenth of the objective to its
+            # estimate; as many queued requests as slots add half of it.
             busy = min(running, replica.slots)
             waiting = max(0, running - replica.slots + 1)
             share = 0.1 * busy / replica.slots + 0.5 * waiting / replica.slots
@@ -271,7 +276,7 @@
             running + 1
         )
         waiting = max(0, running + 1 - replica.slots)
-        # On a full replica a new request waits until another one ends.
+        # On a full replica a new request waits until another request ends.
         queue_s = step_s * 100 * waiting / replica.slots
         return estimate_s + time_factor * (
             step_s * engine.steps_per_event
--- a/src/hickorylead/forwarding/descriptions.py
+++ b/src/hickorylead/forwarding/descriptions.py
@@ -20,7 +20,7 @@
 def describe_attempt(
     pending: state.PendingRequest, attempt: state.Attempt
 ) -> notes.Note:
-    """Returns the line about a second or later attempt."""
+    """Returns the log line about a second or later attempt."""
     return notes.Note(
         "attempt_sent",
         pending.request.request_id,
@@ -40,7 +40,7 @@
     reason: str,
     now: float,
 ) -> notes.Note:
-    """Returns the line about an attempt without a complete response."""
+    """Returns the log line about an attempt without a complete response."""
     return notes.Note(
         "attempt_failed",
         pending.request.request_id,
@@ -58,14 +58,14 @@
 
 
 def describe_leaving(replica: model.Replica) -> notes.Note:
-    """Returns the line about a replica that announced its departure."""
+    """Returns the log line about a replica that announced its departure."""
     return notes.note("server_leaving", server=replica.name, born=replica.born)
 
 
 def describe_malformed_headers(
     replica: model.Replica, names: tuple[str, ...]
 ) -> notes.Note:
-    """Returns the line about malformed headers of a response."""
+    """Returns the log line about malformed headers of a response."""
     return notes.note(
         "header_unreadable", server=replica.name, headers=list(names)
     )
@@ -74,7 +74,7 @@
 def describe_end(
     pending: state.PendingRequest, outcome: str, *, version: int, now: float
 ) -> notes.Note:
-    """Returns the line about a request that has ended.
+    """Returns the log line about a request that has ended.
 
     Args:
         pending: The request.
@@ -118,13 +118,13 @@
     streams: int,
     now: float,
 ) -> notes.Note:
-    """Returns the line about a replica that has stalled."""
+    """Returns the log line about a replica that has stalled."""
     return notes.note(
         "replica_stalled",
         server=stall.replica.name,
         epoch=stall.replica.epoch,
         basis=stall.basis.value,
-        # None if it never sent this gateway any output.
+        # None if the replica never sent any output to this gateway.
         silent_s=_round(
             now - stats.progress_at if stats.progress_at > 0 else None
         ),
@@ -135,7 +135,7 @@
 def describe_limit(
     replica: model.Replica, limit_per_s: float | None
 ) -> notes.Note:
-    """Returns the line about a change of a replica's rate limit."""
+    """Returns the log line about a change of a replica's rate limit."""
     return notes.note(
         "server_limit", server=replica.name, limit_per_s=limit_per_s
     )
--- a/src/hickorylead/forwarding/forwarder.py
+++ b/src/hickorylead/forwarding/forwarder.py
@@ -1,8 +1,8 @@
 """Reducer that forwards the requests of one gateway.
 
-A request is sent to a replica, is retried on another one if that is allowed,
-and ends with exactly one final effect. It is never sent a second time unless it
-may run twice or certainly has not run.
+A request is sent to a replica, is retried on another replica if that is
+allowed, and ends with exactly one final effect. It is never sent a second time
+unless it may run twice or certainly has not run.
 """
 
 from __future__ import annotations
@@ -36,35 +36,38 @@
 
 Verdict = verdict_module.Verdict
 
-# Largest number of replicas that one request is sent to, including those that
-# refused it: each refusal costs a round trip and a share of the common retry
-# budget.
+# Maximum number of replicas to which one request is sent. Replicas that refuse
+# the request count too: each refusal costs a round trip and a share of the
+# common retry budget.
 MAX_SENDS = 4
-# Retries that must be left before a request may probe a server whose pause has
-# ended and that may refuse it: one for this request, and one for another
-# request that needs it.
+# Number of retries that the budget must cover before a request may be sent as a
+# probe to a server whose pause has ended and that may refuse it: one retry for
+# this request, and one for another request that needs it.
 PROBE_RETRIES = 2
-# Retry time for a request that is suspected to end servers, in seconds: by then
-# its current run has had its first event or has ended its server.
+# Retry time for a request that is suspected to end servers, in seconds. After
+# this time, the current run of the request has sent its first event or has
+# ended its server.
 SUSPECTED_RETRY_AFTER_S = 1.0
-# Share of a replica's connection limit that gateways may use; the rest is
-# reserved for state queries and orders from coordinators.
+# Share of a replica's connection limit that all gateways together may use; the
+# rest is reserved for state queries and orders from coordinators.
 CONNECTION_SHARE = 0.9
-# Largest number of servers at fault in one report; any others are dropped.
+# Maximum number of servers at fault that are kept for one report; any others
+# are dropped.
 MAX_FAULTY_SERVERS = 64
-# A request with less time left, in seconds, is not sent to a replica, which
-# could not respond in time.
+# Minimum time left before a request's deadline, in seconds, to send the request
+# to a replica: with less time, the replica could not respond before it.
 MIN_TIME_LEFT_S = 0.02
-# Responses that are not streams are buffered until complete up to this size, in
-# bytes, so that a request whose response breaks off can be retried on another
-# replica.
+# Maximum size of a response that is buffered until it is complete, in bytes;
+# streams are not buffered. If a buffered response breaks off, its request can
+# be retried on another replica.
 MAX_BUFFERED_BYTES = 512 * 1024
-# An attempt without output for this long, in seconds, when its caller
-# disconnects or its deadline passes may have lost its server. A working replica
+# If an attempt has had no output for this long, in seconds, when the caller
+# disconnects or the deadline passes, its server may be lost. A working replica
 # sends its first event within 0.3 s and output every 0.1 s after that.
 OUTPUT_TIMEOUT_S = 0.5
-# Longest time between two checks of the pending requests, in seconds: reports
-# by other gateways may make a replica count as stalled earlier than expected.
+# Maximum time between two checks of the pending requests, in seconds. A replica
+# may count as stalled earlier than expected, because of reports by other
+# gateways.
 MAX_WAKEUP_DELAY_S = 0.25
 
 
@@ -115,7 +118,7 @@
     def set_gateway_count(self, count: int, now: float) -> None:
         """Sets the number of gateways that share the limits.
 
-        These are the retry budget, connection limits and permits.
+        These limits are the retry budget, connection limits and permits.
         """
         self._budgets.set_gateway_count(count, now)
         self._has_gateway_count = True
@@ -285,10 +288,11 @@
         request = pending.request
         if pending.ends_at - now < MIN_TIME_LEFT_S:
             return self._expire(pending, now)
-        # A caller submits a request that ended its server again, through any
-        # gateway. Without this check, each submission ended two more servers.
-        # Blocks are shared by all gateways, and the check is here because
-        # arrivals, retries and waiting requests all pass through this method.
+        # After a request has ended its server, its caller submits it again,
+        # through any gateway. Without this check for a block, each submission
+        # ended two more servers. All gateways share the blocks. The check is
+        # here because arrivals, retries and waiting requests all pass through
+        # this method.
         blocked_s = self._guard.get_block_remaining_s(pending.request_hash, now)
         if blocked_s is not None:
             return self._refuse_blocked(pending, blocked_s, now)
@@ -329,7 +333,7 @@
                 )
 
     def _must_defer(self, pending: state.PendingRequest, now: float) -> bool:
-        """Returns whether a request must not be sent yet: it may end a server.
+        """Returns whether a request that may end a server must not be sent yet.
 
         A request whose response has started is not deferred. Submissions of a
         suspected request are sent one at a time: in parallel, each could end a
@@ -387,7 +391,8 @@
             )
         ]
         if attempt.number > 1:
-            # The line about the end of the request describes the first attempt.
+            # The first attempt needs no log line of its own: the line about the
+            # end of the request describes it.
             effects.append(descriptions.describe_attempt(pending, attempt))
         return effects
 
@@ -396,7 +401,7 @@
     def _find_pending(
         self, request_id: str, attempt: int
     ) -> state.PendingRequest | None:
-        """Returns the request of an attempt; None if it is not the current one.
+        """Returns the request if this is its current attempt; otherwise None.
 
         Events of a previous attempt are dropped: its request was moved to
         another replica, or has ended.
@@ -418,10 +423,11 @@
         if head.load is not None:
             self._health.record_load(attempt.replica, head.load, now)
         effects = self._record_limit(pending, attempt.replica, head, now)
-        # A response to another request still describes the state of its server.
-        # That request may have been sent before the latest refusal, so its
-        # response ends neither an estimated pause nor the probation after a
-        # named one. Refusals always count: some servers omit the attempt id.
+        # A response to another request still describes the state of the server.
+        # As that request may have been sent before the latest refusal, the
+        # response ends neither a back-off nor the probation after a pause that
+        # the server named. Refusals always count: some servers omit the attempt
+        # id.
         is_own_answer = (
             head.echoed_attempt_id == pending.request.metadata.attempt_id
         )
@@ -449,10 +455,10 @@
         head: model.ResponseHead,
         now: float,
     ) -> list[events.Effect]:
-        """Records the rate limit that a replica names, or that it names none.
+        """Records the rate limit in a response, or that a response has none.
 
         A response to another request may have been delayed for long and is
-        ignored. A refusal may omit the limit, so it does not end one.
+        ignored. A refusal without a limit does not end the previous limit.
         """
         if head.echoed_attempt_id != pending.request.metadata.attempt_id or (
             head.not_run and head.limit_per_s is None
@@ -470,8 +476,9 @@
         now: float,
     ) -> list[events.Effect]:
         if head.echoed_attempt_id != pending.request.metadata.attempt_id:
-            # The response belongs to another request: the connection is out of
-            # step, and nothing from it may reach this caller.
+            # The response belongs to another request: requests and responses no
+            # longer match on this connection. Nothing from it may reach this
+            # caller.
             verdict = Verdict.NOT_RUN if head.not_run else Verdict.MAY_HAVE_RUN
             if head.echoed_attempt_id or not head.not_run:
                 verdict = Verdict.MAY_HAVE_RUN
@@ -490,9 +497,9 @@
                 pending, Verdict.MAY_HAVE_RUN, "spoiled_answer", now
             )
         if pending.started and head.status != 200:
-            # The caller has a part of a stream. The complete error response of
-            # a replica that failed to resume it would end the stream as
-            # complete, although it is truncated.
+            # The caller has a part of a stream, and the replica failed to
+            # resume the stream. If its complete error response were forwarded,
+            # the truncated stream would look complete.
             return self._fail_attempt(
                 pending, Verdict.RAN, f"status_{head.status}", now
             )
@@ -575,8 +582,8 @@
         if reason != "refused":
             self._health.record_failure(attempt.replica, now)
         if reason == model.CONNECT_TIMEOUT:
-            # The replica is partitioned or down; the next request would lose
-            # the same time.
+            # The replica is partitioned or down; the next request sent to it
+            # would also wait until the connection timeout.
             self._health.mark_stalled(attempt.replica, now)
         if verdict is Verdict.MAY_HAVE_RUN:
             self._record_lost_run(pending, attempt, now)
@@ -631,8 +638,8 @@
     def _can_move(self, pending: state.PendingRequest, now: float) -> bool:
         """Returns whether a request can certainly be sent to another replica.
 
-        A stalled replica may still recover. Leaving it with no other replica
-        available would end a response that could have completed.
+        A stalled replica may still recover. If a stream left it without another
+        replica to go to, a response that could have completed would be ended.
         """
         attempt = pending.attempt
         if (
--- a/src/hickorylead/forwarding/health.py
+++ b/src/hickorylead/forwarding/health.py
@@ -6,16 +6,17 @@
 
 from hickorylead.forwarding import model
 
-# A stalled replica is avoided for this long, in seconds. Coordinators disband a
-# group that really lost a member within this time; a replica that was only slow
-# should be used again soon.
+# Time for which a stalled replica is avoided, in seconds. If the group has lost
+# a member, coordinators disband the group within this time. If the replica was
+# only slow, it should be used again soon.
 STALL_HOLD_S = 1.2
-# Half-life of the size of a model's largest prompt, in seconds.
+# Half-life of the recorded size of a model's largest prompt, in seconds: the
+# size of an old prompt counts less and less.
 PROMPT_HALF_LIFE_S = 10.0
-# A failure makes a replica less likely to be chosen for this long, in seconds.
+# Time for which a failure makes a replica less likely to be chosen, in seconds.
 FAILURE_RETENTION_S = 5.0
-# A load that a replica reported is used for this long, in seconds; after that,
-# too many requests have started and ended.
+# Time for which the load that a replica reported is used, in seconds. After
+# that, so many requests have started and ended that the report is outdated.
 LOAD_RETENTION_S = 1.0
 
 
@@ -34,7 +35,8 @@
         reported_at: When it reported them.
         progress_at: When it last sent output for any own request.
         stalled_until: When the replica is no longer avoided for a stall.
-        confirmed_until: Same, if this gateway confirmed the stall itself.
+        confirmed_until: Same as `stalled_until` if this gateway confirmed the
+            stall itself.
         failures: Recent failures; reduced with time and by each success.
         failed_at: When it last failed.
     """
@@ -66,8 +68,8 @@
         if stats is None:
             stats = self.stats[replica.name] = ReplicaStats(epoch=replica.epoch)
         elif stats.epoch != replica.epoch:
-            # The head serves in another group now; stalls and failures of the
-            # previous group do not apply to it.
+            # The server is now the head of another group; stalls and failures
+            # of the previous group do not apply to the new one.
             stats.epoch = replica.epoch
             stats.stalled_until = stats.confirmed_until = -1e9
             stats.failures = 0.0
--- a/src/hickorylead/forwarding/model.py
+++ b/src/hickorylead/forwarding/model.py
@@ -8,8 +8,8 @@
 
 Header = tuple[bytes, bytes]
 
-# Reason of an attempt that ended before it was sent: the replica did not accept
-# the connection in time.
+# Reason code of an attempt that ended before the request was sent, because the
+# replica did not accept the connection in time.
 CONNECT_TIMEOUT = "connect_timeout"
 
 
--- a/src/hickorylead/forwarding/refusals.py
+++ b/src/hickorylead/forwarding/refusals.py
@@ -11,26 +11,28 @@
 if TYPE_CHECKING:
     from hickorylead.forwarding import choice as choice_module, state
 
-# A request that finds no replica, or only full ones, waits at the gateway for
-# up to this share of its objective; after that it is refused with a retry time.
+# Maximum time that a request waits at the gateway while there is no replica, or
+# while all replicas are full, as a share of the request's objective. After that
+# the request is refused with a retry time.
 WAIT_SHARE = 0.4
-# Retry time for a service whose replicas are all full, in seconds: a few of
-# their requests end in that time.
+# Retry time for a service whose replicas are all full, in seconds: in that time
+# a few of the requests on these replicas end.
 REPLICAS_FULL_RETRY_S = 0.4
 # Retry time for a service without any replica, in seconds: a new group is
 # formed in about a second.
 NO_REPLICA_RETRY_S = 0.8
 # Reason code of a request that is blocked because it ended servers.
 BLOCKED_REASON = "ends_servers"
-# Retry times vary by up to this share around the usual time.
+# Retry times vary at random by up to this share, above and below the usual
+# time.
 JITTER_SHARE = 0.3
 
 
 def may_wait(pending: state.PendingRequest, now: float) -> bool:
     """Returns whether a request may wait for a replica."""
     if pending.started:
-        # The caller already has a part of the response: waiting is better than
-        # aborting it.
+        # The caller already has a part of the response, and waiting is better
+        # than aborting the response.
         return True
     wait_s = WAIT_SHARE * pending.request.route.objective_s
     return now - pending.arrived_at < wait_s
@@ -88,9 +90,9 @@
 def _refuse(
     pending: state.PendingRequest, reason: str, retry_s: float | None
 ) -> events.Refuse:
-    # Status 503 states that the request has not run, so only a request that
-    # certainly has not run gets it. Callers must not repeat the others, which
-    # get a status that says nothing about it.
+    # Status 503 states that the request has not run, so it is only used for a
+    # request that certainly has not run. Callers must not repeat any other
+    # request, whose status does not say whether it has run.
     request_id = pending.request.request_id
     if retry_s is not None:
         retry_s = jitter_retry_after(request_id, retry_s)
--- a/src/hickorylead/forwarding/replica_directory.py
+++ b/src/hickorylead/forwarding/replica_directory.py
@@ -73,7 +73,7 @@
         return len(self._by_name)
 
     def find(self, name: str) -> model.Replica | None:
-        """Returns the replica whose requests an instance receives."""
+        """Returns the replica for which an instance receives requests."""
         self._refresh()
         return self._by_name.get(name)
 
--- a/src/hickorylead/forwarding/responses.py
+++ b/src/hickorylead/forwarding/responses.py
@@ -27,7 +27,7 @@
 
 
 def flush_buffer(pending: state.PendingRequest) -> list[events.Effect]:
-    """Sends the buffered part of a response that is too large to buffer."""
+    """Sends the part of a response buffered before it became too large."""
     attempt = pending.attempt
     assert attempt is not None
     effects = _start(pending)
--- a/src/hickorylead/forwarding/routes.py
+++ b/src/hickorylead/forwarding/routes.py
@@ -82,7 +82,8 @@
         if not routes:
             return None
         # Every prefix ends with a slash, so only the parts of the path up to a
-        # slash can match. The cost does not grow with the number of routes.
+        # slash can match. The cost of a look-up does not grow with the number
+        # of routes.
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             route = routes.get(path[: end + 1])
--- a/src/hickorylead/forwarding/stalls.py
+++ b/src/hickorylead/forwarding/stalls.py
@@ -1,10 +1,10 @@
 """Detection of stalled replicas: those whose streams have all stopped.
 
-When a member of a group is lost, its head accepts requests for some more
-seconds but sends no output. Gateways notice first, since a working replica
-sends output for each of its streams in every pass of the engine. The longest
-duration of a pass follows from the engine's profile and from the prompts that
-may be prefilled in between.
+When a member of a group is lost, the head of the group accepts requests for
+some more seconds but sends no output. Gateways detect this first, since a
+working replica sends output for each of its streams in every pass of the
+engine. The longest duration of a pass follows from the engine's profile and
+from the prompts that may be prefilled in between.
 """
 
 from __future__ import annotations
@@ -21,34 +21,36 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.forwarding import health as health_module, model, state
 
-# A replica counts as stalled after this many passes of a full batch without
-# output, beyond the time to prefill prompts. With two passes and one and a half
-# prompts, a third to a half of the alarms by running streams are false: output
-# comes after 0.17 to 0.19 s, with a limit of 0.10 to 0.13 s. With either limit,
-# the event gap of a stream that is moved for a real stall is longer than its
-# caller allows.
+# A replica counts as stalled if it has sent no output for this many passes of a
+# full batch, plus the time to prefill PREFILL_PROMPTS prompts. With two passes
+# and one and a half prompts, a third to a half of the alarms by running streams
+# are false: output comes after 0.17 to 0.19 s, with a limit of 0.10 to 0.13 s.
+# With either limit, a stream that is moved for a real stall has a longer event
+# gap than its caller allows.
 STALL_PASSES = 3.0
-# How many of the largest prompts a replica may prefill at once between two
-# passes.
+# Number of prompts, each as long as the largest recent prompt, that a replica
+# is assumed to prefill between two passes.
 PREFILL_PROMPTS = 2.0
-# A single stream is weaker evidence than several; the limit is this much
-# longer.
+# Factor of the stall limit for a replica with a single running stream, which is
+# weaker evidence than several streams.
 SINGLE_STREAM_FACTOR = 1.25
-# Share of the limit that applies after another gateway reported a stall.
+# Factor of the stall limit for a replica whose stall another gateway reported.
 REPORTED_SHARE = 0.75
-# Added to the limit, in seconds, for requests that wait for their first event
-# at a replica without other requests: any first event takes about 120 ms.
+# Added to the stall limit, in seconds, if all requests known at a replica are
+# requests of this gateway that wait for their first event: any first event
+# takes about 120 ms.
 FIRST_EVENT_ALLOWANCE_S = 0.4
-# For STARTUP_S seconds after its start, a gateway multiplies the limit by
-# STARTUP_FACTOR. It has no reports yet of the requests that other gateways
-# sent, and after a power failure all gateways send their backlog at once. A
-# batch that prefills such a backlog sends events every 0.27 s (5 steps of 2,048
-# tokens). Without the longer limit, a power failure led to 128 false alarms in
-# 6 s, which moved streams and had their prompts prefilled again.
+# For STARTUP_S seconds after its start, a gateway multiplies the stall limit by
+# STARTUP_FACTOR. The gateway has no reports yet of the requests that other
+# gateways sent, and after a power failure all gateways send their backlog at
+# once. A batch that prefills such a backlog sends events every 0.27 s (5 steps
+# of 2,048 tokens). Without the longer limit, a power failure led to 128 false
+# alarms in 6 s, which moved streams and had their prompts prefilled again.
 STARTUP_S = 4.0
 STARTUP_FACTOR = 2.5
-# An idempotent call without a response is retried on another replica after this
-# many times its objective: nearly all responses arrive within one.
+# Time after which an idempotent call without a response is retried on another
+# replica, as a multiple of the call's objective: nearly all responses arrive
+# within one objective.
 OVERDUE_OBJECTIVES = 2.0
 
 
@@ -58,7 +60,7 @@
     Attributes:
         RUNNING: Streams of this gateway that had output stopped.
         WAITING: Streams of this gateway wait too long for their first event.
-        REPORTED: Another gateway reported it.
+        REPORTED: Another gateway reported the stall.
     """
 
     RUNNING = "running"
@@ -196,10 +198,11 @@
         is_stalled = now - progress_at > limit_s * factor
         return Basis.RUNNING if is_stalled else None
     if health.count_requests(replica, now) > waiting:
-        # The waiting requests may be queued behind those of other gateways,
-        # which then detect and report a stall first; if none of them has a
-        # running stream, coordinators miss the replica's heartbeats. Of 110
-        # alarms by such requests, 100 were false.
+        # The waiting requests may be queued behind requests of other gateways.
+        # Those gateways then detect and report a stall first; if none of them
+        # has a running stream, coordinators detect that the replica's
+        # heartbeats are missing. Of 110 alarms by such waiting requests, 100
+        # were false.
         return None
     limit_s += FIRST_EVENT_ALLOWANCE_S
     idle_s = now - max(oldest_sent, progress_at)
--- a/src/hickorylead/forwarding/state.py
+++ b/src/hickorylead/forwarding/state.py
@@ -20,8 +20,10 @@
         candidates: Replicas whose estimates were compared.
         estimate_s: Estimated time to the first token, in seconds.
         running: Own requests that were running on the replica.
-        load_age_s: Age of its last load report, in seconds; None if none.
-        limit_per_s: Rate limit that it had named by then; None if none.
+        load_age_s: Age of the replica's last load report, in seconds; None if
+            there is none.
+        limit_per_s: Rate limit that the replica had named at that time; None
+            if none.
         paused_count: Number of replicas that were paused.
     """
 
--- a/src/hickorylead/forwarding/stream.py
+++ b/src/hickorylead/forwarding/stream.py
@@ -9,8 +9,9 @@
 import attrs
 
 _END = b"\n\n"
-# A replica that sends bytes without ever ending an event must not exhaust the
-# memory; events of known deployments have some 100 bytes.
+# Maximum size of one event, in bytes: a replica that never ends an event must
+# not exhaust the gateway's memory. Events of known deployments have some 100
+# bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
@@ -59,8 +60,8 @@
                 passed.append(event)
                 continue
             if number <= self.last_event_id:
-                # A replica may resume a stream at an earlier event than
-                # requested.
+                # The caller already has this event: a replica may resume a
+                # stream at an earlier event than requested.
                 continue
             if number != self.last_event_id + 1:
                 problem = "event_gap"
--- a/src/hickorylead/placement/groups.py
+++ b/src/hickorylead/placement/groups.py
@@ -74,7 +74,7 @@
 def adopt_groups(members: Mapping[str, registry.Member]) -> dict[str, Group]:
     """Returns the groups that the present servers announce as theirs.
 
-    A new lease holder adopts these instead of forming its own, so that
+    A new lease holder adopts these groups instead of forming new ones, so that
     running groups continue to run.
     """
     newest: dict[str, int] = {}
--- a/src/hickorylead/placement/planner.py
+++ b/src/hickorylead/placement/planner.py
@@ -20,8 +20,9 @@
     from hickorylead.placement.groups import Group
 
 ORDER_RETRY_S = 3.0
-# Entries are notified within two seconds that a group drains. Until then they
-# may still send it requests, so it must not be released earlier.
+# Minimum time from the start of a group's drain to its release, in seconds.
+# Entries are notified of the drain within two seconds; until then they may
+# still send requests to the group.
 DRAIN_MIN_S = 5.0
 
 
@@ -179,7 +180,8 @@
             return False
         state = member.state
         if state.phase == announcements.PHASE_LEAVING:
-            # It finishes its running requests; the group drains, see below.
+            # A leaving server remains a member and finishes its running
+            # requests while its group drains; see `_repair_groups`.
             return state.group == group.name
         if vm in self._pending:
             return True
@@ -225,7 +227,7 @@
         held_s = self._now - group.broken_since
         # Surviving members that wait for a spare serve no requests. They are
         # released at once if a complete group can be formed from free VMs in
-        # some domain, and in any case after the time the operators chose.
+        # some domain, and otherwise after the time that operators chose.
         if held_s >= self._policy.hold_broken_s or self._find_domain(
             group.service, group.size, group.weights
         ):
@@ -253,7 +255,7 @@
             while len(current) < wanted:
                 # The weight store is rate-limited: many concurrent loads
                 # would all be slow. Services are in the order of their rank,
-                # so the most urgent ones load first.
+                # so the most urgent services load first.
                 if self._count_loading() >= self._policy.max_loads:
                     break
                 group = self._form_group(service)
@@ -270,7 +272,7 @@
     def _list_undrained(
         self, service: model.Service
     ) -> tuple[list[Group], list[Group]]:
-        """Returns a service's undrained groups: current and outdated ones."""
+        """Returns a service's undrained groups, the current and outdated."""
         current: list[Group] = []
         old: list[Group] = []
         for group in self.groups.values():
@@ -312,7 +314,7 @@
         return sorted(groups, key=get_sort_key)
 
     def _make_room(self, service: model.Service, old: list[Group]) -> None:
-        """Drains one group so that a wanted one can be formed.
+        """Drains one group so that a wanted group can be formed.
 
         A group with the old version of the same service is drained first. A
         group of a lower rank is drained only for a service that has no
@@ -404,7 +406,7 @@
         return min(fitting, key=get_sort_key)
 
     def _list_free(self, domain: str | None, weights: str) -> list[str]:
-        """Returns free VMs, those that hold the weights first."""
+        """Returns free VMs; those that hold the weights come first."""
         assigned = {vm for g in self.groups.values() for vm in g.vms}
         free = [
             (m.state.weights != weights, vm)
--- a/src/hickorylead/placement/takeover.py
+++ b/src/hickorylead/placement/takeover.py
@@ -16,11 +16,13 @@
 
     from hickorylead.configuration import model
 
-# A zone that is missing for this long is not merely restarting or partitioned
-# briefly; for a shorter loss, loading weights would cost more than it gains.
+# Time after the last heartbeat of a zone at which the zone counts as lost, in
+# seconds: it is then not merely restarting or partitioned briefly. For a
+# shorter loss, loading weights would cost more than it gains.
 TAKEOVER_DELAY_S = 60.0
-# A zone that has returned needs time to load weights; until then the replicas
-# that replace its own are kept.
+# Time after a lost zone's return at which it no longer counts as lost, in
+# seconds. The zone needs time to load weights; until then the other zones keep
+# the replicas that they run in its place.
 GIVE_BACK_DELAY_S = 30.0
 
 
@@ -73,10 +75,10 @@
     def list_shares(
         self, configuration: model.Configuration
     ) -> list[tuple[model.Service, int]]:
-        """Returns the shares of this zone, with its part of the lost ones.
+        """Returns the shares of this zone, with its part of lost zones' shares.
 
         The present zones split each share of a lost zone evenly. The remainder
-        goes to the first ones in the order of their names.
+        goes to the first present zones in the order of their names.
         """
         present = sorted({*self._others, self._zone} - set(self.lost_zones))
         index = present.index(self._zone)
--- a/src/hickorylead/rendezvous.py
+++ b/src/hickorylead/rendezvous.py
@@ -10,7 +10,7 @@
 
 
 def score_name(key: str, name: str) -> int:
-    """Returns the score of a name for a key; the highest one is chosen."""
+    """Returns a name's score for a key; the highest-scored name is chosen."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
--- a/src/hickorylead/requests/dispatcher.py
+++ b/src/hickorylead/requests/dispatcher.py
@@ -275,8 +275,8 @@
         self, pending: state.PendingRequest, now: float
     ) -> list[Effect]:
         request = pending.request
-        # Both new requests and retries are checked here. Otherwise each
-        # submission of a request that crashes its server would crash more
+        # Both new requests and retries pass this check for a block. Without it,
+        # each submission of a request that crashes its server would crash more
         # servers.
         blocked_s = self._guard.get_block_remaining_s(pending.request_hash, now)
         if blocked_s is not None:
@@ -572,7 +572,7 @@
         retry_after_s: float | None,
         now: float,
     ) -> model.Problem | None:
-        """Returns why a request is not retried; None if it is."""
+        """Returns why a request is not retried; None if it is retried."""
         # A non-idempotent request is retried only if it cannot have run: a
         # work order that runs twice sends two crews.
         if pending.non_idempotent and pending.verdict != Verdict.NOT_RUN:
@@ -595,9 +595,9 @@
                 f"the deadline passed; the last failure was {reason}",
                 outcomes.MIN_RETRY_AFTER_S,
             )
-        # The crash of a replica is confirmed only after a second. If retries
-        # were limited by the budget alone, one submission could crash six of
-        # nine replicas within that second.
+        # The crash of a replica is confirmed only after a second. If only the
+        # retry budget limited the retries of a request, one submission could
+        # crash six of nine replicas within that second.
         if pending.unproductive_attempts >= crash_history.BLOCK_THRESHOLD:
             return outcomes.describe_replicas_failed()
         if not self._budget.try_withdraw():
@@ -720,8 +720,8 @@
         if pending is None:
             return []
         if pending.non_idempotent and pending.current_attempt is not None:
-            # Cancelling it could leave its work incomplete. It runs to its
-            # end, and a resend gets the response from the claim.
+            # If the request were cancelled, its work could remain incomplete.
+            # It runs to its end, and a resend gets the response from the claim.
             return []
         self.histories.add(request_id, now, "caller_left")
         effects: list[Effect] = []
--- a/src/hickorylead/requests/events.py
+++ b/src/hickorylead/requests/events.py
@@ -72,7 +72,8 @@
 
     Attributes:
         attempt_id: The attempt.
-        verdict: NOT_RUN only if no byte was sent, or the server reported so.
+        verdict: NOT_RUN only if no byte was sent, or if the server reported
+            that it did not run the request.
         reason: Stable code.
         retry_after_s: The pause that the server asked for, if any.
     """
@@ -118,7 +119,7 @@
 
 @attrs.frozen
 class CancelAttempt:
-    """Effect: close an attempt's connection, and cancel it on the server.
+    """Effect: close an attempt's connection; cancel the attempt on the server.
 
     Attributes:
         attempt_id: The attempt.
--- a/src/hickorylead/requests/history.py
+++ b/src/hickorylead/requests/history.py
@@ -78,7 +78,7 @@
             history.steps.append(Step(after_s, code, detail, candidates))
 
     def get(self, request_id: str) -> RequestHistory | None:
-        """Returns the history of a request, or None if not kept."""
+        """Returns the history of a request; None if it is not kept."""
         history = self._histories.get(request_id)
         if history is None:
             return None
--- a/src/hickorylead/requests/outcomes.py
+++ b/src/hickorylead/requests/outcomes.py
@@ -19,8 +19,8 @@
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
 NO_REPLICA_RETRY_S = 5.0
-# Content type of a stored answer that contains a model's text; the response to
-# each resend is rendered from it.
+# Content type of a stored answer that contains a model's text. The response to
+# each resend is rendered from this text.
 COMPLETION_TYPE = "text/x-completion"
 
 
--- a/src/hickorylead/requests/state.py
+++ b/src/hickorylead/requests/state.py
@@ -25,7 +25,8 @@
         replica: The replica.
         started_at: When the attempt started.
         last_frame_at: When the last frame arrived.
-        is_attached: Whether the stream was joined over a second connection.
+        is_attached: Whether the entry attached to the stream over a second
+            connection.
         has_frames: Whether any frame with tokens has arrived.
     """
 
--- a/src/hickorylead/routing/health.py
+++ b/src/hickorylead/routing/health.py
@@ -14,10 +14,10 @@
 EJECT_MAX_S = 30.0
 SMOOTHING = 0.2
 MAX_SLOWNESS = 8.0
-# The effect of a measured slowness halves in this time. A straggler gets no
-# requests while it is rated slow, so no new measurement could show that it has
-# recovered. As the old measurement decays, the replica gets requests again,
-# and these provide a new one.
+# Half-life of a measured slowness, in seconds. A replica gets no requests while
+# it is rated slow, so no new measurement could show that it has recovered. As
+# the old measurement decays, the replica gets requests again, and these provide
+# a new measurement.
 SLOWNESS_HALF_LIFE_S = 10.0
 
 
@@ -127,7 +127,8 @@
         """Returns the load of a group, corrected for the report's lag.
 
         A report does not include the requests that this entry sent or ended
-        after it was made. Older times are already included and are pruned.
+        after it was made. Requests sent or ended earlier are included in the
+        report, so their times are pruned.
         """
         health = self.get(group)
         health.send_times = [at for at in health.send_times if at > reported_at]
--- a/src/hickorylead/routing/messages.py
+++ b/src/hickorylead/routing/messages.py
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class TableUpdate:
-    """Changes of the replicas of one zone, from the holder of its lease.
+    """Changes of the replicas of one zone, from the zone's lease holder.
 
     An update without changes is a heartbeat that carries loads only.
 
--- a/src/hickorylead/routing/policy.py
+++ b/src/hickorylead/routing/policy.py
@@ -22,17 +22,18 @@
     from hickorylead.requests import model
     from hickorylead.routing import health, messages, table
 
-# A report is assumed to describe the load this long before it arrived. A load
-# takes about as long to change much.
+# Assumed age of a load report when it arrives, in seconds. The load of a
+# replica takes about as long to change much.
 REPORT_LAG_S = 1.0
 OVERCOMMIT = 1.0
-# A short wait for a replica that has the prefix cached costs less than the
-# prefill on another one.
+# Load, as a multiple of its slots, up to which a preferred replica gets
+# requests. It has the prompt's prefix cached, and a short wait for it costs
+# less than the prefill on another replica.
 PREFERRED_OVERCOMMIT = 1.5
 URGENT_OVERCOMMIT = 2.0
 URGENT_LEVEL = 1
 PREFERRED_COUNT = 4
-# Costs are in units of a full batch.
+# The unit of these costs is the cost of a full batch.
 OTHER_ZONE_COST = 0.25
 PREFIX_GAIN = 0.8
 
@@ -145,7 +146,8 @@
             [*preferred, *drawn], preferred, request, now
         )
         if choice is None:
-            # All drawn replicas are full: consider all before giving up.
+            # The drawn and the preferred replicas are all full: the other
+            # replicas are considered before giving up.
             choice = self._choose_best(candidates, preferred, request, now)
         return choice
 
--- a/src/hickorylead/routing/table.py
+++ b/src/hickorylead/routing/table.py
@@ -6,11 +6,11 @@
 
 from hickorylead.routing import messages
 
-# Maximum number of withdrawals that are retained; each is needed only until the
-# next update.
+# Maximum number of withdrawals that are retained. A withdrawal is needed only
+# until the next update of the table.
 MAX_WITHDRAWN = 1000
-# Maximum number of removed groups that are retained. They show whether a lost
-# run was lost together with its replica. A zone has 120 replicas.
+# Maximum number of removed groups whose names are retained. If a run is lost,
+# they show whether its replica was lost with it. A zone has 120 replicas.
 MAX_REMOVED = 1000
 
 
@@ -53,8 +53,8 @@
         """Applies an update; returns whether to request the full table."""
         zone = self.zones.setdefault(update.zone, ZoneTable())
         if update.fence < zone.fence:
-            # Sent by a previous lease holder that has not noticed yet that it
-            # was replaced.
+            # The update is from a previous lease holder that has not noticed
+            # yet that it was replaced.
             return False
         has_changes = bool(update.added or update.removed)
         expected = zone.sequence + 1 if has_changes else zone.sequence
@@ -66,12 +66,12 @@
             zone.replicas = {}
             zone.complete = True
         elif update.fence == zone.fence and update.sequence < expected:
-            # A change that is already applied, delivered late.
+            # The update arrived late; its change has already been applied.
             return not zone.complete
         elif update.fence != zone.fence or update.sequence != expected:
-            # An update was lost. Without the full table a removed replica
-            # would be kept for ever. An update without changes reveals the
-            # loss just as the next change does.
+            # An update was lost. If the full table were not requested, a
+            # replica that the lost update removes would be kept for ever. An
+            # update without changes reveals the loss, too.
             zone.complete = False
             zone.last_update_at = now
             return True
--- a/src/hickorylead/verdict.py
+++ b/src/hickorylead/verdict.py
@@ -18,7 +18,7 @@
 
 
 def combine_verdicts(first: Verdict, second: Verdict) -> Verdict:
-    """Returns the verdict on a request from those of two of its attempts."""
+    """Returns the verdict on a request from the verdicts on two attempts."""
     if Verdict.RAN in (first, second):
         return Verdict.RAN
     if Verdict.MAY_HAVE_RUN in (first, second):
--- a/tests/forwarding/forwarder.feature
+++ b/tests/forwarding/forwarder.feature
@@ -1,21 +1,21 @@
 Feature: Forwarded requests
 
-  Scenario: A call that may run once is not sent again after a reset
-    The connection to a replica is reset after it accepted an urgent alert,
-    which may have run. A second alert would send two crews, so the caller must
+  Scenario: A non-idempotent call is not sent again after its connection is reset
+    A replica accepts an urgent alert, and then the connection is reset. The
+    alert may have run. A second alert would send two crews, so the caller must
     not get a status that means "not run".
     Given a gateway with 3 plain replicas
     When a non-idempotent call is reset
     Then it was sent once and ends with status 502
 
-  Scenario: A call that a replica refused as not run is sent to another one
+  Scenario: A call that a replica refused as not run is sent to another replica
     Given a gateway with 3 plain replicas
     When a non-idempotent call is refused as not run and then completed
     Then it was sent to two replicas, once each, and ends with status 200
 
   Scenario: A call that every replica refused gets a retry time
     All replicas are full and state that they did not run the alert, so the
-    caller may be told to retry it.
+    caller may retry the alert.
     Given a gateway with 2 plain replicas
     When a non-idempotent call is refused by every replica
     Then it ends with status 503 and a retry time
@@ -27,9 +27,9 @@
     When 100 non-idempotent calls arrive at once
     Then their retry times differ by 0.3 seconds or more
 
-  Scenario: The response to another request reaches no caller
+  Scenario: A response to another request does not reach the caller
     A late second response to a previous request arrives where the response to
-    this one is due. The attempt id tells them apart.
+    the current request is due. The attempt ids of the responses differ.
     Given a gateway with 3 plain replicas
     When an idempotent call gets the response to another request
     Then it was sent to two replicas, once each, and ends with status 200
@@ -44,10 +44,10 @@
     When an idempotent call gets no response for 0.3 seconds
     Then it was sent to two replicas, once each
 
-  Scenario: A stream is resumed on another replica without gap or repeat
-    A replica is lost in the middle of an event, when the caller has
-    events 1 to 3. The next replica is requested to resume after 3 but starts
-    with 2 again.
+  Scenario: A stream is resumed on another replica without lost or repeated events
+    A replica is lost in the middle of event 4, when the caller has events 1
+    to 3. The gateway requests that the next replica resumes the stream after
+    event 3, but that replica starts with event 2 again.
     Given a gateway with 3 model replicas
     When a stream breaks in event 4 and another replica resumes it from event 2
     Then its caller got events 1 to 6 once and a complete response
@@ -57,10 +57,11 @@
     When a stream skips from event 2 to event 4
     Then its caller got events 1 to 2 once
 
-  Scenario Outline: A stream whose next replica fails does not look complete
-    A replica breaks off after two events, and the next one, requested to resume
-    the stream, sends a complete error response. Its end must not be taken for
-    the end of the stream, which would be truncated but look complete.
+  Scenario Outline: A stream that no replica can resume does not look complete
+    A stream breaks after two events. The next replica, which should resume the
+    stream, sends a complete error response. The end of that response must not
+    be forwarded as the end of the stream: the stream would be truncated but
+    look complete.
     Given a gateway with 3 model replicas
     When a stream breaks after event 2 and the next replica responds <status>
     Then the response is aborted and does not look complete
@@ -72,98 +73,102 @@
       | 504    |
       | 404    |
 
-  Scenario: A stream without attempts left does not look complete
+  Scenario: A stream that breaks with no attempts left does not look complete
     Given a gateway with 3 model replicas
     When a stream breaks twice after event 2
     Then the response is aborted and does not look complete
 
   Scenario: All streams are moved from a stalled replica
-    A member of the group is lost, but its head still accepts requests. After
-    some passes without output all its streams are moved to other replicas, and
-    no new requests are sent to it.
+    A group loses a member, but the head of the group still accepts requests.
+    After some passes without output, all streams of this replica are moved to
+    other replicas, and no new requests are sent to it.
     Given a gateway with 3 model replicas
     When a replica with 3 streams stops sending output
     Then within 0.4 seconds all streams move to other replicas
     And new requests avoid that replica
 
   Scenario: A stall does not end streams if there is no other replica
-    A stalled replica may recover, so with no other replica its streams wait.
+    A stalled replica may recover, so its streams wait if there is no other
+    replica.
     Given a gateway with 1 model replicas
     When a replica with 2 streams stops sending output
     Then within 1 seconds no response has ended
 
   Scenario: The prefill of a long prompt is not taken for a stall
     Another caller's prompt of 6,000 tokens is prefilled between two passes of
-    the replica. By the engine's profile this takes 150 ms.
+    the replica. By the engine's profile the prefill takes 150 ms.
     Given a gateway with 3 model replicas
     When a stream has a gap of 0.15 seconds after a prompt of 6000 tokens
     Then it was sent once
 
   Scenario: The backlog after a restart of all gateways is not taken for a stall
     All gateways restart after a power failure and send their backlog at once.
-    Each has information about its own requests only. A batch that prefills the
-    backlog of all gateways sends events every 0.27 seconds. Moving streams would
-    have the prompts prefilled again on another replica with a backlog.
+    Each gateway has information about its own requests only. A batch that
+    prefills the backlog of all gateways sends events every 0.27 seconds. If
+    streams were moved, their prompts would be prefilled again on another
+    replica with a backlog.
     Given a gateway with 3 model replicas
     And the gateway has just started
     When a stream sends an event every 0.27 seconds for 2 seconds
-    Then it stays on its replica
-    And it still moves away within 1 second from a replica without output
+    Then the stream stays on its replica
+    And the stream still leaves its replica within 1 second if its output stops
 
   Scenario: A queue at a replica is not taken for a stall
-    In a burst, a replica is busy with requests of other gateways and queues the
-    request of this one for 1 second. Moving it would put it at the end of
-    another queue and have a working replica avoided by the next requests.
+    In a burst, a replica is busy with requests of other gateways and queues a
+    request of this gateway for 1 second. If the request were moved, it would go
+    to the end of another queue, and the next requests would avoid a working
+    replica.
     Given a gateway with 3 model replicas
     And other gateways have 9 requests at each replica
     When a stream waits 1 second for its first event
-    Then it was never moved from its replica
+    Then the stream was never moved from its replica
 
-  Scenario: A stalled replica without other requests is left soon
-    No other gateway has requests at the replica, so no other can detect the
-    stall.
+  Scenario: A request soon leaves a stalled replica that has no other requests
+    No other gateway has requests at the replica, so no other gateway can detect
+    the stall.
     Given a gateway with 3 model replicas
     When a stream waits 0.8 seconds for its first event
-    Then it was sent again to another replica
+    Then the request was sent again to another replica
 
   Scenario: A stalled replica that sends output is used again at once
-    The replica stalled for a moment. One stream stayed on it, as it had no
-    attempt left, and now gets an event.
+    The replica stalled for a moment. One stream stayed on the replica, because
+    the stream had no attempt left, and now gets an event.
     Given a gateway with 3 model replicas
     When a replica was avoided for a stall and then sends an event
     Then the replica is no longer avoided
 
   Scenario: A stall that another gateway reported is not reported again
-    Otherwise each of nine gateways would report it to the others and receive it
-    back as new from each, and every new report has the members of the group
-    probed.
+    Without this rule, each of nine gateways would report the stall to the
+    others and receive it back as new from each of them. After every new report,
+    the members of the group are probed.
     Given a gateway with 3 model replicas
-    When another gateway reports a stall of a replica that is not used here
-    Then that replica is avoided here and its stall is not reported again
+    When another gateway reports a stall of a replica that has no requests of this gateway
+    Then this gateway avoids that replica and does not report its stall again
 
-  Scenario: A gateway checks its streams when one may have stalled
+  Scenario: A gateway checks its requests only when a check is needed
     Checks at a fixed rate, such as 50 times a second, are wasteful. A check is
     only needed when a stream has been without output for long enough, or while
     a request waits.
     Given a gateway with 3 model replicas
     When a stream has just sent an event
-    Then no check is due before its replica may count as stalled
+    Then no check is due before the stream's replica may count as stalled
     And a check is due at once while a request waits for a replica
 
-  Scenario: A reported stall moves no streams from a replica with output
+  Scenario: Streams stay on a replica that sends output despite a reported stall
     Given a gateway with 3 model replicas
     When another gateway reports a stall of a replica that has just sent output
-    Then its streams stay on that replica
+    Then the streams of this gateway stay on that replica
 
   Scenario: A replica that cannot be reached is avoided for a while
-    Its zone is partitioned without any error. Each request sent to it would
-    lose the time of a connection attempt before it is sent to another replica.
+    The zone of the replica is partitioned, without any connection error. Each
+    request sent to the replica would lose the time of a connection attempt
+    before it is sent to another replica.
     Given a gateway with 3 model replicas
     When a connection to a replica times out
     Then new requests avoid that replica
     And its stall is reported to other gateways
 
-  Scenario: Retries stay within their share when every replica fails
+  Scenario: Retries stay within their share of the traffic when every replica fails
     All replicas reset all idempotent calls. Unlimited retries would double the
     load while replicas are failing.
     Given a gateway with 3 plain replicas
@@ -172,26 +177,27 @@
 
   Scenario: Among requests of one priority, resumed streams go first
     The streams of a lost replica compete with new requests for other replicas.
-    Their callers see an event gap meanwhile. The operators' priorities still
-    come first.
+    The callers of these streams see an event gap meanwhile. The operators'
+    priorities still come first.
     Then a resumed stream ranks before a new request
     And a new request of priority 0 ranks before a stream of priority 1
 
-  Scenario: Many gateways that lose replicas at once stay within the limit
+  Scenario: Many gateways that lose replicas at once stay within the limit of retries
     A fabric domain fails, and streams at all gateways stop within seconds. Each
-    gateway has saved retries; together they must stay within the limit that the
-    operators set for all gateways.
+    gateway has saved retries; all gateways together must stay within the limit
+    that the operators set.
     Given 71 gateways that share 0.2 retries a request and a burst of 284 retries
-    When 1776 requests arrive at them unevenly and all fail
-    Then they retry at most 639 times, and at least 300 times
+    When 1776 requests arrive at these gateways unevenly and all fail
+    Then the gateways retry at most 639 and at least 300 times
 
-  Scenario: Gateways without the number of gateways retry little
-    Gateways that have all just started do not have that number yet.
+  Scenario: Gateways retry little until they receive the number of gateways
+    Gateways that have all just started have not received the number of gateways
+    yet.
     Given 71 new gateways that share 0.2 retries a request and a burst of 284 retries
-    When 1776 requests arrive at them unevenly and all fail
-    Then they retry at most 639 times, and at least 300 times
+    When 1776 requests arrive at these gateways unevenly and all fail
+    Then the gateways retry at most 639 and at least 300 times
 
-  Scenario: A caller that disconnects frees the replica at once
+  Scenario: The connection to the replica is closed when the caller disconnects
     Given a gateway with 3 model replicas
     When a caller disconnects in the middle of its stream
     Then the replica's connection is closed at once
@@ -201,7 +207,7 @@
     When a non-idempotent call gets no response before its deadline
     Then it ends with status 504 within 0.05 seconds after its deadline
 
-  Scenario: Without any replica a request soon gets a retry time
+  Scenario: A request soon gets a retry time if there is no replica
     The request can't be served, so it isn't held until its deadline.
     Given a gateway with 0 plain replicas
     When a non-idempotent call arrives
@@ -210,9 +216,9 @@
   Scenario Outline: A gateway stays within its share of a replica's connections
     A replica resets connections above the limit that all gateways share.
     Given one of 9 gateways with 2 <kind> replicas that accept <limit> connections
-    When 40 requests for them arrive within 0.2 seconds
-    Then no replica runs more than <max> of its requests at once
-    And each replica has run <max> of its requests at once
+    When 40 requests for these replicas arrive within 0.2 seconds
+    Then no replica runs more than <max> of this gateway's requests at once
+    And each replica has run <max> of this gateway's requests at once
 
     Examples:
       | kind  | limit | max |
@@ -234,7 +240,9 @@
     When a request is refused by a head that names itself as at fault
     Then no server is reported as at fault
 
-  Scenario: A late response to an earlier request ends no estimated pause
+  Scenario: A late response to an earlier request does not end the back-off
+    After a refusal without a retry time, the gateway estimates a pause for the
+    replica, the back-off.
     Given a gateway with 1 plain replicas
-    When a request is refused without a time, the next one gets a late response
-    Then the replica is still likely to refuse
+    When a late response to an earlier request arrives after a refusal without a retry time
+    Then the replica is still likely to refuse a request
--- a/tests/forwarding/routes.feature
+++ b/tests/forwarding/routes.feature
@@ -1,6 +1,6 @@
 Feature: Routes and keys
 
-  Scenario Outline: The route of the host with the longest matching prefix is used
+  Scenario Outline: Of a host's routes, the longest matching prefix is used
     Given routes for "/", "/a/" and "/a/b/" of host "one", "/a/" of host "two"
     Then "<path>" of host "<host>" goes to <route>
 
--- a/tests/placement/repair.feature
+++ b/tests/placement/repair.feature
@@ -16,7 +16,7 @@
     Then within 25 s the entries of "buda-hall" may use 2 replicas of their zone
     And every VM of "buda-hall" that is in a group serves
 
-  Scenario: Groups of a failed fabric domain are formed in another one
+  Scenario: Groups of a failed fabric domain are formed again in another domain
     All VMs of a domain fail at once. The groups are formed again in another
     domain, because a replica does not span domains.
     Given a deployment with 8 engines a zone in domains of 4
@@ -36,7 +36,7 @@
     Then at least 99 in 100 of their requests succeeded
 
   Scenario: A broken group does not hold its surviving members for ever
-    A member dies and no VM is free. After the time that operators chose, the
+    A member dies and no VM is free. After a time that the operators chose, the
     surviving members are released, because they serve no requests.
     Given a deployment that holds broken groups for 10 s
     When a member of a group of "buda-hall" dies
@@ -45,7 +45,7 @@
     When 15 s pass
     Then the surviving member in "buda-hall" is free
 
-  Scenario: A preset switch aborts no request in flight
+  Scenario: A switch to another preset does not abort requests in flight
     The maintenance preset stops all replicas while requests run. New requests
     are refused as not run; each request in flight first gets its complete
     response.
@@ -55,32 +55,32 @@
     Then all requests have their complete response
     And no replica serves and every VM is free
 
-  Scenario: A new version replaces the old one without downtime
+  Scenario: A new model version replaces the old version without downtime
     A service gets a new model version. New groups are formed first where VMs
-    are free, then the old ones drain. Some replica serves all the time.
+    are free, then the old groups drain. At least one replica serves at any time.
     Given a deployment with 8 engines a zone in domains of 8
     When the version of the service changes
     Then within 60 s all replicas hold the new version
     And each zone had a serving replica all the time
 
-  Scenario: Services load from the rate-limited weight store by rank
-    Two services start at once, and only one group of a zone may load at a
-    time. The more urgent service loads first.
+  Scenario: Groups of the more urgent service load their weights first
+    Two services start at once. The weight store is rate-limited, so only one
+    group of a zone may load at a time.
     Given the processes of a deployment that is not bootstrapped
     When two services of different rank start with one load at a time
     Then the groups of the more urgent service were formed first
 
-  Scenario: A group that fits no domain is refused when applied
+  Scenario: A service whose groups fit no domain is refused when it is applied
     An operator requests groups of 12 VMs, but no fabric domain has more than 6.
-    If accepted, the group would never be formed. The change is refused at once,
-    with the reason.
+    If the change were accepted, the groups would never be formed. It is refused
+    at once, with the reason.
     Given a deployment in three zones
     When a service with groups of 12 VMs is applied
     Then the change is refused because it does not fit
 
-  Scenario: A group of a lower rank is drained when no VM is free
+  Scenario: A less urgent group is drained if a more urgent group finds no free VM
     The only group of the most urgent service loses a VM and no VM is free. A
-    group of a lower rank is drained to make room for it.
+    group of a less urgent service is drained to make room for it.
     Given a zone full of groups of two ranks
     When the group of the more urgent service loses a member
     Then within 60 s the more urgent service serves again
--- a/tests/requests/requests.feature
+++ b/tests/requests/requests.feature
@@ -8,7 +8,7 @@
     And 20 s pass
     Then all requests have their complete response
 
-  Scenario: A stream whose connection stalls is joined over a new one
+  Scenario: An entry attaches to a stream over a new connection if the old one stalls
     A network component between entry and server loses the state of a
     connection, without any error. The entry attaches to the stream over a new
     connection; it does not treat the server as dead and run the request again.
@@ -18,18 +18,18 @@
     Then all requests have their complete response
     And the request ran on one server only
 
-  Scenario: A server freezes for 30 s and then continues
+  Scenario: Late frames of a server that was frozen for 30 s are dropped
     A server freezes in mid stream. The entry gets no frames over a new
-    connection either, so it runs the request elsewhere. When the server
-    continues, its late frames are dropped.
+    connection either, so it runs the request on another server. The late frames
+    that the first server sends when it continues are dropped.
     Given a deployment in three zones
     When the head of a group that runs a stream freezes for 30 s
     And 60 s pass
     Then all requests have their complete response
 
   Scenario: Late, duplicate or foreign frames never reach a caller
-    A server's frames arrive twice, late from a previous attempt, and once with
-    the id of another request. The caller gets its own response only.
+    Frames arrive twice, or late from a previous attempt, and one frame has the
+    id of another request. The caller gets only the response to its own request.
     Given a deployment in three zones
     When a stream gets duplicate, late and foreign frames
     And 20 s pass
@@ -72,15 +72,16 @@
     And each refusal has a retry time
 
   Scenario: Urgent requests are served first
-    Ordinary requests fill the queue. An urgent one that arrives last starts
-    before them, and an ordinary one is shed because the queue is full.
+    Ordinary requests fill the queue. An urgent request that arrives last starts
+    before them, and an ordinary request is shed because the queue is full.
     Given a full queue of ordinary requests
     When an urgent request arrives
-    Then it is the next one served, and an ordinary one was shed
+    Then the urgent request is served next, and an ordinary request was shed
 
-  Scenario: A large workspace delays only itself
-    One workspace sends 100 requests before another one sends 5. The workspaces
-    are served in turns, so the small one does not wait for the large one.
+  Scenario: A workspace with many requests delays only its own requests
+    One workspace sends 100 requests before another workspace sends 5. The
+    workspaces are served in turns, so the second workspace does not wait for
+    all requests of the first.
     Given a queue with 100 requests of "large" and then 5 of "small"
     Then all 5 of "small" are among the first 11 served
 
@@ -90,7 +91,7 @@
     Given a deployment in three zones
     When a caller disconnects in mid stream
     And 1 s pass
-    Then no server runs its request
+    Then no server runs the caller's request
 
   Scenario: A slow replica gets fewer requests until it recovers
     One replica becomes eight times slower without failing. It gets clearly
@@ -98,59 +99,59 @@
     is fast again, it gets its share again.
     Given a deployment in three zones
     When one replica of "buda-hall" is 8 times slower for 60 s under traffic
-    Then it ran fewer than 60 requests per 100 of the other replica, and some
-    When it is as fast as the others for 120 s
-    Then it ran more than 60 requests per 100 of the other replica, and some
+    Then the slow replica ran some requests, but fewer than 60 per 100 of the other replica
+    When the slow replica is as fast as the others again for 120 s
+    Then the recovered replica ran more than 60 requests per 100 of the other, which ran some
 
-  Scenario: One submission does not crash server after server
+  Scenario: A request that is submitted once does not crash server after server
     A request crashes each server that runs it after 0.1 s, before any response.
     If retries were limited by the retry budget alone, one submission would
     crash all replicas, with all other requests on them.
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When a request that crashes its servers is submitted once
     And 20 s pass
-    Then it crashed 3 servers at most
-    And it is refused as may_have_run with code "replicas_failed"
+    Then the request crashed 3 servers at most
+    And the request is refused as may_have_run with code "replicas_failed"
 
-  Scenario: A request that crashed servers is not run again by its entry
-    Its caller submits it again with the same body. An entry without a record of
-    the previous submissions would run it again.
+  Scenario: An entry refuses a request that crashed servers when it is submitted again
+    The caller submits the request again with the same body. An entry without a
+    record of the previous submissions would run the request again.
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When a request that crashes its servers is submitted 5 times to one entry
-    Then it crashed 3 servers at most
-    And it is refused as not_run with code "ends_servers"
+    Then the request crashed 3 servers at most
+    And the request is refused as not_run with code "ends_servers"
     And another request gets a complete response
 
-  Scenario: All entries refuse a request that crashed servers through some
-    Its caller submits it to another entry each time. The control processes of
-    all zones merge the crashes that the entries observed.
+  Scenario: All entries refuse a request that crashed servers through some entries
+    The caller submits the request to another entry each time. The control
+    processes of all zones merge the crashes that the entries observed.
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When a request that crashes its servers is submitted to 5 entries in turn
-    Then it crashed 4 servers at most
-    And all entries refuse it as not_run with code "ends_servers"
+    Then the request crashed 4 servers at most
+    And all entries refuse the request as not_run with code "ends_servers"
 
-  Scenario: Crashes through entries of several zones are added up
-    A caller disconnects once a server has crashed, and submits the request in
-    another zone. No entry observes more than one crash.
+  Scenario: Crashes that entries of several zones observed are added up
+    A caller disconnects once a server has crashed, and submits the same request
+    in another zone. No entry observes more than one crash.
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When a request crashes one server through an entry of each zone
-    Then all entries refuse it as not_run with code "ends_servers"
+    Then all entries refuse the request as not_run with code "ends_servers"
 
-  Scenario: A restarted entry refuses the requests that the others refuse
+  Scenario: A restarted entry refuses the requests that the other entries refuse
     Given a deployment with 12 engines a zone in 3 domains and 3 replicas
     When a request that crashes its servers is submitted to 5 entries in turn
     And all entries and control processes of a zone restart
     And 10 s pass
-    Then all entries refuse it as not_run with code "ends_servers"
+    Then all entries refuse the request as not_run with code "ends_servers"
 
-  Scenario: An entry sends a server no requests during a pause that the server requested
+  Scenario: An entry sends no requests to a server during a pause that the server requested
     Given a deployment in three zones
     When one of the replicas refuses requests with a pause of 3 s, for 10 s
     And 20 s pass
-    Then no entry sends it anything between 0.5 and 3 s after a refusal
+    Then no entry sends that replica anything between 0.5 and 3 s after a refusal
     And all requests have their complete response
 
-  Scenario: A request that all servers refuse for long is refused at once
+  Scenario: A request is refused at once if all servers request a long pause
     Given a deployment in three zones
     When all replicas refuse requests with a pause of 100 s, for 5 s
     Then each request is refused as not_run within 1 s, with a retry time
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -332,14 +332,14 @@
     context.harness.advance(seconds)
 
 
-@then("it was never moved from its replica")
+@then("the stream was never moved from its replica")
 def _(context):
     harness = context.harness
     assert len(harness.list_attempts(context.name)) == 1
     assert not harness.list_effects(context.name, events.CancelAttempt)
 
 
-@then("it was sent again to another replica")
+@then("the request was sent again to another replica")
 def _(context):
     assert len(context.harness.list_attempts(context.name)) == 2
 
@@ -362,7 +362,10 @@
     assert not harness.health.list_stalled(harness.now)
 
 
-@when("another gateway reports a stall of a replica that is not used here")
+@when(
+    "another gateway reports a stall of a replica that has no requests of this"
+    " gateway"
+)
 def _(context):
     harness = context.harness
     for effect in harness.forwarder.handle_reported_stalls(
@@ -371,7 +374,7 @@
         harness.effects.append((harness.now, effect))
 
 
-@then("that replica is avoided here and its stall is not reported again")
+@then("this gateway avoids that replica and does not report its stall again")
 def _(context):
     harness = context.harness
     replica = harness.forwarder._chooser.find("m1")
@@ -393,7 +396,7 @@
         harness.effects.append((harness.now, effect))
 
 
-@then("its streams stay on that replica")
+@then("the streams of this gateway stay on that replica")
 def _(context):
     assert len(context.harness.list_attempts(context.name)) == 1
 
@@ -612,7 +615,7 @@
     context.shared = [budget.GatewayRetryBudgets(limits) for _ in range(71)]
 
 
-@when("{count:d} requests arrive at them unevenly and all fail")
+@when("{count:d} requests arrive at these gateways unevenly and all fail")
 def _(context, count):
     # Callers are assigned to gateways by a hash: some gateways get three
     # times as many requests as others.
@@ -626,7 +629,7 @@
             context.retries += found.try_withdraw()
 
 
-@then("they retry at most {most:d} times, and at least {least:d} times")
+@then("the gateways retry at most {most:d} and at least {least:d} times")
 def _(context, most, least):
     assert least <= context.retries <= most, context.retries
 
@@ -675,12 +678,12 @@
         harness.send_events(context.name, [number], attempt=attempt)
 
 
-@then("it stays on its replica")
+@then("the stream stays on its replica")
 def _(context):
     assert len(context.harness.list_attempts(context.name)) == 1
 
 
-@then("it still moves away within 1 second from a replica without output")
+@then("the stream still leaves its replica within 1 second if its output stops")
 def _(context):
     context.harness.advance(1.0)
     assert len(context.harness.list_attempts(context.name)) == 2
@@ -694,7 +697,7 @@
     harness.send_events(context.name, [1], attempt=attempt)
 
 
-@then("no check is due before its replica may count as stalled")
+@then("no check is due before the stream's replica may count as stalled")
 def _(context):
     harness = context.harness
     due_s = harness.forwarder.find_next_wakeup(harness.now) - harness.now
@@ -726,7 +729,7 @@
     context.route = {"plain": "notices", "model": "drafts"}[kind]
 
 
-@when("{count:d} requests for them arrive within {seconds:g} seconds")
+@when("{count:d} requests for these replicas arrive within {seconds:g} seconds")
 def _(context, count, seconds):
     harness = context.harness
     context.max_running = collections.Counter()
@@ -739,12 +742,12 @@
             )
 
 
-@then("no replica runs more than {count:d} of its requests at once")
+@then("no replica runs more than {count:d} of this gateway's requests at once")
 def _(context, count):
     assert max(context.max_running.values()) <= count, context.max_running
 
 
-@then("each replica has run {count:d} of its requests at once")
+@then("each replica has run {count:d} of this gateway's requests at once")
 def _(context, count):
     assert set(context.max_running.values()) == {count}, context.max_running
 
@@ -787,7 +790,10 @@
     assert context.harness.forwarder.pop_faulty_servers() == ()
 
 
-@when("a request is refused without a time, the next one gets a late response")
+@when(
+    "a late response to an earlier request arrives after a refusal without a"
+    " retry time"
+)
 def _(context):
     harness = context.harness
     name = harness.send_request("notices", body=b"1")
@@ -805,7 +811,7 @@
     )
 
 
-@then("the replica is still likely to refuse")
+@then("the replica is still likely to refuse a request")
 def _(context):
     harness = context.harness
     assert harness.notices.is_likely_to_refuse(
--- a/tests/steps/request_steps.py
+++ b/tests/steps/request_steps.py
@@ -230,7 +230,7 @@
     context.queue.push(make_request(99, urgency=0), 1.0)
 
 
-@then("it is the next one served, and an ordinary one was shed")
+@then("the urgent request is served next, and an ordinary request was shed")
 def _(context):
     shed = context.queue.shed()
     assert shed and shed.request.urgency == 3
@@ -271,7 +271,7 @@
     )
 
 
-@then("no server runs its request")
+@then("no server runs the caller's request")
 def _(context):
     assert not any(s.batch.running for s in context.simulation.servers.values())
     assert operator_actions.count_replicas(
@@ -313,15 +313,15 @@
     run_traffic(context, seconds)
 
 
-@when("it is as fast as the others for {seconds:g} s")
+@when("the slow replica is as fast as the others again for {seconds:g} s")
 def _(context, seconds):
     context.slow.batch.slowdown_factor = 1.0
     run_traffic(context, seconds)
 
 
 @then(
-    "it ran fewer than {share:d} requests per 100 of the other replica, and"
-    " some"
+    "the slow replica ran some requests, but fewer than {share:d} per 100 of"
+    " the other replica"
 )
 def _(context, share):
     slow, fast = context.got
@@ -329,7 +329,8 @@
 
 
 @then(
-    "it ran more than {share:d} requests per 100 of the other replica, and some"
+    "the recovered replica ran more than {share:d} requests per 100 of the"
+    " other, which ran some"
 )
 def _(context, share):
     slow, fast = context.got
@@ -408,7 +409,7 @@
             simulation.start(node)
 
 
-@then('all entries refuse it as not_run with code "{code}"')
+@then('all entries refuse the request as not_run with code "{code}"')
 def _(context, code):
     simulation = context.simulation
     for number, node in enumerate(simulation.entries):
@@ -420,13 +421,13 @@
         assert final.problem.verdict is Verdict.NOT_RUN, (node, final)
 
 
-@then("it crashed {count:d} servers at most")
+@then("the request crashed {count:d} servers at most")
 def _(context, count):
     ended = count_crashed(context.simulation)
     assert 1 <= ended <= count, ended
 
 
-@then('it is refused as {verdict} with code "{code}"')
+@then('the request is refused as {verdict} with code "{code}"')
 def _(context, verdict, code):
     final = context.last.final_effect
     assert isinstance(final, events.Refuse), final
@@ -491,8 +492,8 @@
 
 
 @then(
-    "no entry sends it anything between {first:g} and {last:g} s after a "
-    "refusal"
+    "no entry sends that replica anything between {first:g} and {last:g} s "
+    "after a refusal"
 )
 def _(context, first, last):
     assert last == context.pause_s
--- a/tests/steps/table_steps.py
+++ b/tests/steps/table_steps.py
@@ -25,7 +25,7 @@
 
 
 @when(
-    'the update that removes "{removed}" is lost and one without changes'
+    'the update that removes "{removed}" is lost and an update without changes'
     " follows"
 )
 def _(context, removed):
