--- a/src/hickorylead/fleet/divergence.py
+++ b/src/hickorylead/fleet/divergence.py
@@ -4,11 +4,12 @@
 
 import attrs
 
-# Two nodes may differ for a moment while updates are in transit. A full sync is
-# sent only if they still differ after this, in seconds.
+# Time for which two nodes' states must differ before one of the nodes sends the
+# other a full sync, in seconds: for a moment, updates may be in transit.
 MISMATCH_GRACE_S = 0.7
-# Shortest time between two full syncs to one node, in seconds. A digest that
-# still changes postpones the first one for no longer than this.
+# Shortest time between two full syncs to the same node, in seconds. It is also
+# the longest time for which a digest that still changes postpones the first
+# full sync to a node.
 RESEND_INTERVAL_S = 1.5
 
 
@@ -27,7 +28,7 @@
         self._differences: dict[str, _Difference] = {}
 
     def clear(self, node: str) -> None:
-        """Clears a node that gets the missing state in another way."""
+        """Clears the entry of a node that gets the state in another way."""
         self._differences.pop(node, None)
 
     def needs_full_sync(
@@ -49,7 +50,7 @@
             difference.digest != node_digest
             and now - difference.since < RESEND_INTERVAL_S
         ):
-            # Its digest still changes, so updates do reach it.
+            # The node's digest still changes, so updates do reach the node.
             difference.digest = node_digest
             return False
         if (
--- a/src/hickorylead/fleet/events.py
+++ b/src/hickorylead/fleet/events.py
@@ -21,7 +21,7 @@
 
     Attributes:
         name: The server.
-        born: Start time of the incarnation that reported it; 0 if the server
+        born: Start time of the incarnation that is leaving; 0 if the server
             does not report one.
     """
 
@@ -66,6 +66,8 @@
 class SaveCrashes:
     """Effect: persist the known lost runs, to restore after a restart.
 
+    A lost run is a request whose server may have ended while running it.
+
     Attributes:
         known: All lost runs known at present, with their ages.
     """
@@ -89,7 +91,7 @@
 
 @attrs.frozen
 class AnswerRead:
-    """Effect: respond to a read.
+    """Effect: respond to an operator's request for the configuration.
 
     Attributes:
         token: Identifies the call.
--- a/src/hickorylead/fleet/failure_detector.py
+++ b/src/hickorylead/fleet/failure_detector.py
@@ -11,17 +11,18 @@
 
     from hickorylead.fleet import instances, registry as registry_module
 
-# Heartbeat periods without a heartbeat after which a server is probed.
-# Heartbeats have a jitter of a tenth, and one that got no response within a
-# second is sent to the next coordinator.
+# Number of heartbeat periods without a heartbeat after which a server is
+# probed. Heartbeats have a jitter of a tenth. A server sends a heartbeat that
+# got no response within a second to the next coordinator.
 PROBE_AFTER_PERIODS = 1.5
-# A probe without a response is repeated after this, in seconds.
+# Time after which a probe without a response is repeated, in seconds.
 PROBE_INTERVAL_S = 0.7
-# A server that responded is not suspected again for this long, in seconds.
+# Time for which a server that responded to a probe is not suspected again, in
+# seconds.
 SUSPICION_COOLDOWN_S = 1.0
-# A replica that sent output to a gateway within this time is not treated as
-# dead, even if its heartbeats or probes fail, in seconds: the report period of
-# a gateway plus the longest pass of a replica that works.
+# Time for which a replica that sent output to a gateway is not treated as dead,
+# even if its heartbeats or probes fail, in seconds: the report period of a
+# gateway plus the longest pass of a replica that works.
 OUTPUT_TIMEOUT_S = 0.45
 
 
@@ -57,7 +58,7 @@
     def add_suspects(
         self, members: Iterable[instances.Instance], now: float
     ) -> list[instances.Instance]:
-        """Adds suspects; returns those that are to be probed now."""
+        """Adds suspected servers; returns those that are to be probed now."""
         probed = []
         for member in members:
             suspicion = self._suspicions.get(member.name)
--- a/src/hickorylead/fleet/gateways.py
+++ b/src/hickorylead/fleet/gateways.py
@@ -13,26 +13,29 @@
 if TYPE_CHECKING:
     from hickorylead.fleet import registry as registry_module
 
-# A gateway that has sent no hello for this long gets no more updates, in
-# seconds.
+# Time without a hello after which a gateway gets no more updates, in seconds.
 GATEWAY_TIMEOUT_S = 10.0
-# Loads of a zone are sent this often, in seconds.
+# Period at which a home coordinator sends its gateways the loads (the number of
+# requests that run on each replica), in seconds.
 LOADS_PERIOD_S = 0.25
-# Gateways are sent the list of coordinators when it changes, and this often,
-# in seconds; a list of six takes 400 bytes. A gateway that looks for a home
-# coordinator is sent it on each hello: it uses the reply as a liveness signal.
+# Period at which a gateway gets the list of coordinators, in seconds; it also
+# gets the list when the list changes. A list of six takes 400 bytes. A gateway
+# that looks for a home coordinator gets the list in reply to each hello: it
+# uses the reply as a liveness signal.
 COORDINATORS_PERIOD_S = 5.0
 # A gateway that holds an older configuration gets the newer one from its home
-# coordinator at once. Other coordinators send it only if the gateway has been
+# coordinator at once. Other coordinators send it only once the gateway has been
 # outdated for this long, in seconds: when all 6 coordinators sent 30 KB to 71
-# gateways at each change, that took 13 MB. They do send it then, as the home
-# coordinator may be outdated itself and a change must arrive within 2 s.
+# gateways at each change, the messages took 13 MB. The other coordinators do
+# send it then, as the home coordinator may be outdated itself and a change must
+# arrive within 2 s.
 OUTDATED_GRACE_S = 0.2
-# A configuration that was sent counts as in transit for this long, in seconds.
+# Time for which a configuration that was sent counts as in transit and is not
+# sent again, in seconds.
 RESEND_DOCUMENT_S = 0.5
-# The same for a gateway that has no configuration yet, in seconds. The home
-# coordinator sends it the configuration again at each hello: the first copy may
-# not be marked as recent, if no leader had been elected yet.
+# The same time for a gateway that has no configuration yet, in seconds. The
+# home coordinator sends such a gateway the configuration again at each hello:
+# the first copy may not be marked as recent, if no leader had been elected yet.
 RESEND_FIRST_DOCUMENT_S = 0.2
 
 
@@ -72,14 +75,14 @@
         ]
 
     def list_home_gateways(self, now: float) -> list[str]:
-        """Returns the gateways whose home coordinator is this one."""
+        """Returns the gateways whose home coordinator is this node."""
         return [n for n in self.list_all(now) if self._gateways[n].is_home]
 
     def is_home_coordinator_of(self, node: str, boot: int) -> bool:
-        """Returns whether this was a gateway's home coordinator.
+        """Returns whether this node is a gateway's home coordinator.
 
-        This is as of the gateway's last hello: False for a gateway that has
-        just started or is about to switch to this home coordinator.
+        The gateway's last hello decides: False for a gateway that has just
+        started or is about to switch to this node.
         """
         gateway = self._gateways.get(node)
         return gateway is not None and gateway.boot == boot and gateway.is_home
@@ -144,10 +147,10 @@
         registry: registry_module.Registry,
         now: float,
     ) -> bool:
-        """Returns whether to send a full sync; only a home coordinator does."""
+        """Returns whether to send a full sync; only home coordinators do."""
         if not hello.is_home or registry.had_digest(hello.check, now):
-            # The missing updates are in transit, or the home coordinator sends
-            # them.
+            # The missing updates are in transit, or the gateway's home
+            # coordinator, which is another node, sends them.
             self._divergence.clear(hello.node)
             return False
         return self._divergence.needs_full_sync(
@@ -187,7 +190,7 @@
     def tick(
         self, *, is_fresh: bool, other_gateways: int, now: float
     ) -> list[tuple[str, messages.Message]]:
-        """Returns the loads of the zone, when they are due.
+        """Returns messages with the loads of the zone, when they are due.
 
         Args:
             is_fresh: Whether this node's configuration is certainly recent.
--- a/src/hickorylead/fleet/group_builder.py
+++ b/src/hickorylead/fleet/group_builder.py
@@ -25,15 +25,15 @@
 if TYPE_CHECKING:
     from hickorylead.configuration import document as document_module
 
-# Time that a group's members get to report beyond its load time, in seconds.
+# Time beyond the load time within which a new group must be ready, in seconds.
 FORM_SLACK_S = 3.0
-# Step between epochs; a planner adds its number, so no two use the same epoch.
+# Step between epochs; each planner adds its own number, so epochs are unique.
 EPOCH_STEP = 64
-# A planner's first epoch is this much above those that servers report. This
-# leaves room for 256 groups, 64 numbers each: more than one planner forms in
-# some minutes (about 100 in a simulation of 60 s with a loss every 3 s).
+# A planner's first epoch is this far above the highest that servers report.
+# This leaves room for 256 groups of 64 numbers each, more than a planner forms
+# in some minutes (about 100 in a simulation of 60 s with a loss every 3 s).
 EPOCH_JUMP = 256 * EPOCH_STEP
-# Name prefix of groups of one server that only load weights into memory.
+# Name prefix of warm-up groups: one server that only loads weights into memory.
 WARM_UP_PREFIX = "w"
 
 GroupKey = tuple[str, int]
@@ -73,7 +73,7 @@
         living: Servers that are alive and not draining.
         supply: Supply of each model in all domains; see `layout`.
         serving: Number of groups that serve or are about to, by model.
-        groups: Those of these groups that members report.
+        groups: The groups counted in `serving` that members report.
         leaving: Living servers of groups that end.
     """
 
@@ -90,7 +90,7 @@
     """Fencing numbers of one planner; they only rise."""
 
     def __init__(self, number: int) -> None:
-        """Makes the epochs of a planner with the given own number."""
+        """Makes the epochs of the planner with the given number."""
         self._number = number % EPOCH_STEP
         self._highest = 0
         self._has_issued = False
@@ -154,7 +154,7 @@
         planners: int,
         running: loads.LoadsInProgress,
     ) -> None:
-        """Begins a service: sets how many loads may start in this round."""
+        """Begins a service's plan; sets how many loads may start this round."""
         if self._has_traffic:
             self._loads.begin_round(
                 engine, planners=planners, in_progress=running, now=self._now
@@ -163,7 +163,7 @@
             self._loads.lift_limits()
 
     def start_loads(self) -> None:
-        """Ends a service: starts the loads with the highest priority."""
+        """Ends a service's plan; starts the loads with the highest priority."""
         for request in self._loads.grant():
             if self._tracker.issue_order(
                 request.instance, orders.Stage(request.model)
@@ -238,10 +238,10 @@
                 instance, profile.name, loads.LoadPriority.GROUP, len(cold)
             )
         if cold:
-            # Free servers serve another model meanwhile.
+            # Free servers serve another model until these loads have ended.
             return free
-        # The other servers become free within seconds. Until then the free ones
-        # wait: from another group they would have to be withdrawn again.
+        # Servers of ending groups become free within seconds. Until then the
+        # free servers wait: another group would soon have to release them.
         retired += [
             group
             for group in victims
@@ -282,8 +282,8 @@
         """Forms groups in excess of the layout from otherwise idle servers.
 
         A model that the domain lacks may have to be loaded first, for 12 s and
-        more; until then free servers other than the standbys serve another
-        model. Such a group is retired once its servers can form a missing one.
+        more; until then free servers that are no standbys serve another model.
+        An extra group is retired once its servers can form a missing one.
         """
         reserve = round(self._policy.spare_share * len(domain.living))
         by_need = sorted(
@@ -385,10 +385,10 @@
             )
 
     def _warm_up(self, instance: instances.Instance, model: str) -> None:
-        """Loads staged weights into memory, in a group of one.
+        """Loads staged weights into memory, by a group of one server.
 
-        A server whose last group had the model joins the next such group in
-        0.2 s, instead of the time to load it from its VM (1.1 to 1.6 s).
+        A server whose last group had the model joins the next group with that
+        model in 0.2 s; to load the model from its VM takes 1.1 to 1.6 s.
         """
         if self._tracker.is_contested(instance):
             return
--- a/src/hickorylead/fleet/groups.py
+++ b/src/hickorylead/fleet/groups.py
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class Group:
-    """The members that reported one group, under one epoch.
+    """A group under one epoch, with the members that reported it.
 
     Attributes:
         name: Name of the group.
-        epoch: Epoch that they reported.
-        members: By rank.
+        epoch: Epoch that its members reported.
+        members: Its members, by rank.
     """
 
     name: str
@@ -46,7 +46,7 @@
 def collect_groups(
     present: Iterable[instances.Instance],
 ) -> dict[tuple[str, int], Group]:
-    """Returns the groups that instances report, by name and epoch."""
+    """Returns the groups that servers report, by name and epoch."""
     members: dict[tuple[str, int], dict[int, instances.Instance]] = (
         collections.defaultdict(dict)
     )
@@ -61,7 +61,7 @@
     """Returns whether every member of a group is present and has loaded.
 
     Only the state that the members themselves report counts: an order may have
-    been lost or overtaken by another one.
+    been lost or overtaken by another order.
     """
     return len(group.members) == size and all(
         rank in group.members
--- a/src/hickorylead/fleet/identity.py
+++ b/src/hickorylead/fleet/identity.py
@@ -12,7 +12,7 @@
     """Identity and settings of a coordinator.
 
     Attributes:
-        node: Its name.
+        node: Name of the coordinator.
         address: `ip:port` for its peers.
         incarnation: Name of the present incarnation of the data folder.
         seeds: Peer addresses of a few coordinators.
--- a/src/hickorylead/fleet/instances.py
+++ b/src/hickorylead/fleet/instances.py
@@ -43,22 +43,23 @@
         address: `ip:port`.
         zone: Its availability zone.
         domain: Its fabric domain; empty for plain services.
-        slots: Requests that it runs concurrently.
+        slots: Number of requests that it runs concurrently.
         phase: ready, draining or gone.
         sequence: Number of its newest heartbeat; orders its reports.
         models: Models in its memory.
         staged: Models staged on its VM.
         member: Its place in a group; an empty group name if it is in none.
-        silent: Whether coordinators have missed its heartbeats for long.
+        silent: Whether coordinators have received no heartbeat from it for
+            long.
         last_model: Model of its last group, which it still has in memory;
-            empty if it was in none. The server does not report this; nodes
-            that observed the group forward it, so that a node that restarts
-            gets it as well.
+            empty if it was in no group. The server does not report this field;
+            nodes that observed the group forward it, so that a node that
+            restarts gets it as well.
         born: Start time of this incarnation, in Unix milliseconds; 0 where
             servers do not report it and each incarnation has its own id.
         loading: Model that a coordinator ordered it to stage and that it does
             not report as staged yet; empty if there is none. The server does
-            not report this either.
+            not report this field either.
     """
 
     name: str
@@ -87,11 +88,12 @@
     """Returns whether an update of a backend server replaces the known state.
 
     Heartbeats arrive through any coordinator and may be reordered. The end of
-    an incarnation is final: a late heartbeat of it would bring back an address
-    that now belongs to another service. Draining is final as well; a server
-    may report it in its HTTP responses while its heartbeats do not. A later
-    incarnation under the same id numbers its heartbeats from the start, so
-    updates of the previous one are old even if their number is higher.
+    an incarnation is final: a late heartbeat of that incarnation would bring
+    back an address that now belongs to another service. Draining is final as
+    well; a server may report it in its HTTP responses while its heartbeats do
+    not. A later incarnation under the same id numbers its heartbeats from the
+    start, so updates of the previous incarnation are old even if their number
+    is higher.
     """
     if known is None:
         return True
@@ -113,7 +115,7 @@
 
 
 def fill_unreported(update: Instance, known: Instance | None) -> Instance:
-    """Returns an update with known fields that a server does not report."""
+    """Returns an update, completed with fields that servers do not report."""
     last_model = update.last_model
     if known is not None and known.born != update.born:
         # A new incarnation has nothing in memory.
@@ -134,7 +136,7 @@
 def _keep_draining(update: Instance, known: Instance) -> Instance:
     """Returns the newer state of a draining server.
 
-    It is marked as draining unless it is gone.
+    The returned state is marked as draining unless the server is gone.
     """
     if update.phase == PHASE_GONE:
         return update
@@ -152,7 +154,7 @@
 
     A delay affects callers where a replica must no longer be used, or can be
     used again: a server leaves, its heartbeats stop or resume, a group opens
-    or ends. Members that join and get ready matter only once the head is open.
+    or ends. Members that join and get ready matter only once the head opens.
     """
     if known is None:
         return update.member.state == GROUP_OPEN
--- a/src/hickorylead/fleet/layout.py
+++ b/src/hickorylead/fleet/layout.py
@@ -10,9 +10,10 @@
 
     from hickorylead.configuration import document as document_module
 
-# A model that the domain serves already is kept unless another one is scarcer
-# by this fraction of its target supply: a change ends a working group, and
-# takes the time of its running requests and of a load from the VM, about 3 s.
+# A domain keeps a model that it serves unless another model is scarcer by this
+# fraction of its target supply. A change of model ends a working group, and
+# takes the time of that group's running requests and of a load from the VM,
+# about 3 s.
 STAY_MARGIN = 0.25
 
 
@@ -27,7 +28,7 @@
     Args:
         engine: The models with their shares.
         serving_vms: VMs that serve each model, or are about to, in all domains.
-        alive: VMs of the service that are alive, in all domains.
+        alive: Number of VMs of the service that are alive, in all domains.
         spare_share: Share of VMs kept as standbys.
     """
     usable = max(1.0, alive * (1.0 - spare_share))
@@ -50,12 +51,12 @@
 
     First, one group of each model is placed, starting with the scarcest model,
     even if that uses the standbys: while each domain serves all models, the
-    loss of a domain or a VM leaves some groups of each. Further groups follow
-    by the models' shares, as long as the standbys are kept.
+    loss of a domain or a VM leaves some groups of each model. Further groups
+    follow by the models' shares, as long as the standbys are kept.
 
     Args:
         engine: The models.
-        alive: VMs of the domain that are alive.
+        alive: Number of VMs of the domain that are alive.
         serving: Groups of the domain by model.
         supply: Supply of each model in all domains; see `measure_supply`.
         spare_share: Share of the domain's VMs kept as standbys.
--- a/src/hickorylead/fleet/loads.py
+++ b/src/hickorylead/fleet/loads.py
@@ -13,13 +13,14 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.fleet import instances
 
-# Window over which the rate of load starts is limited, in seconds.
+# Length of the window in which the number of loads that start is limited, in
+# seconds.
 WINDOW_S = 5.0
 # Secondary loads, for servers that serve already, start only while fewer than
-# this share of the allowed concurrent loads are in progress, counting those of
-# all planners: a load can't be cancelled, and an empty server that appears a
-# moment later would have to wait for one to end. With an empty server every
-# 3 s, the longest wait for a load of 14 s was 17 s; it was 36 s when each
+# this share of the allowed concurrent loads are in progress, counting the loads
+# of all planners: a load can't be cancelled, and an empty server that appears a
+# moment later would have to wait for a load to end. With a new empty server
+# every 3 s, the longest wait for a load of 14 s was 17 s; it was 36 s when each
 # planner counted its own loads alone.
 SECONDARY_SHARE = 0.33
 
@@ -40,7 +41,8 @@
         instance: The server.
         model: Model that it should stage.
         priority: Purpose of the load.
-        missing: Loads that its group still needs, this one included.
+        missing: Number of loads that the group still needs, including this
+            load.
     """
 
     instance: instances.Instance
@@ -116,8 +118,9 @@
         )
         self._remaining = allowed - len(self._start_times)
         if engine.max_concurrent_loads:
-            # The loads that other planners leave unused, but at least an equal
-            # share: a partitioned planner must not wait for their loads.
+            # The limit is what the loads of other planners leave unused, but at
+            # least an equal share: a planner that is partitioned from them must
+            # not wait for their loads.
             equal_share = math.ceil(engine.max_concurrent_loads / planners)
             self._max_concurrent = max(
                 equal_share, engine.max_concurrent_loads - in_progress.elsewhere
@@ -136,9 +139,9 @@
         self._max_concurrent = self._max_secondary = math.inf
 
     def request(self, request: LoadRequest) -> None:
-        """Adds a load request; only the best-ranked one of a server is kept.
+        """Adds a load request; keeps only a server's best-ranked request.
 
-        An empty server could complete a group of four or one of two. While
+        An empty server could complete a group of four or a group of two. While
         loads are scarce, the group that needs fewer loads serves callers
         sooner.
         """
--- a/src/hickorylead/fleet/messages.py
+++ b/src/hickorylead/fleet/messages.py
@@ -15,9 +15,10 @@
 
     Attributes:
         sender: Node that sends the update.
-        news: The servers.
-        is_full: Whether these are all servers that the sender knows, and it has
-            been running for long enough to have received every heartbeat.
+        news: States of the servers.
+        is_full: Whether these are all servers that the sender knows, and the
+            sender has been running for long enough to have received every
+            heartbeat.
     """
 
     sender: str
@@ -30,11 +31,11 @@
     """Heartbeats without changes, from one coordinator to the others.
 
     Attributes:
-        sender: Coordinator that received them.
+        sender: Coordinator that received the heartbeats.
         names: Backend servers.
-        sequences: Number of the newest heartbeat of each.
-        since: Number of the heartbeat of each that last reported a change.
-        born: Start time of the incarnation of each; see `Instance`.
+        sequences: Number of each server's newest heartbeat.
+        since: Number of each server's heartbeat that last reported a change.
+        born: Start time of each server's incarnation; see `Instance`.
     """
 
     sender: str
@@ -46,7 +47,7 @@
 
 @attrs.frozen
 class HeadLoad:
-    """Requests of one gateway that run on one replica."""
+    """Number of requests that run on a replica, from one or more gateways."""
 
     name: str
     running: int
@@ -76,10 +77,11 @@
         check: Digest of its registry.
         is_home: Whether the receiver is its home coordinator, which sends it
             loads and forwarded updates.
-        loads: Its requests by replica, only for its home coordinator.
+        loads: Number of its requests by replica, only for its home
+            coordinator.
         stalled: Replicas whose streams all stopped recently, by head.
         flowing: Replicas that sent output recently, by head.
-        blocked: Digest of the request hashes that it sends to no replica.
+        blocked: Digest of the hashes of requests that it sends to no replica.
     """
 
     node: str
@@ -108,10 +110,10 @@
 
 @attrs.frozen
 class ZoneLoads:
-    """Requests of a zone's gateways by replica, from their home coordinator.
+    """Number of requests of a zone's gateways, by replica.
 
     Attributes:
-        sender: Coordinator.
+        sender: Home coordinator of the gateways.
         loads: Sum over the gateways of the zone.
         is_fresh: Whether the sender had contact to a leader with a majority
             recently.
@@ -129,17 +131,18 @@
     """Periodic report of a coordinator to another one.
 
     Attributes:
-        node: Its name.
+        node: Name of the sender.
         address: `ip:port` for its peers.
         incarnation: Its member id in the configuration log.
-        nodes: Names of the coordinators in its list.
+        nodes: Names of the coordinators that it knows.
         addresses: Their addresses, in the same order.
         check: Digest of its registry.
         is_empty: Whether it belongs to no cluster and may bootstrap one.
         gateways: Number of gateways whose home coordinator it is.
         has_traffic: Whether callers are served: from then on loads from the
             weight store are limited.
-        crashes: Digest of its lost runs.
+        crashes: Digest of its lost runs (requests whose server may have ended
+            while running them).
     """
 
     node: str
@@ -160,7 +163,7 @@
 
     Attributes:
         sender: Coordinator that sends the list.
-        nodes: Their names.
+        nodes: Names of the coordinators.
         addresses: Their addresses, in the same order.
         is_fresh: Whether the sender had contact to a leader with a majority
             recently.
--- a/src/hickorylead/fleet/order_tracker.py
+++ b/src/hickorylead/fleet/order_tracker.py
@@ -2,14 +2,14 @@
 
 A join names the number of orders that the server must have accepted, and the
 server refuses it if it counts another number. So the server itself stops a
-planner that has missed another planner's orders, whatever state either has.
+planner that has missed another planner's orders, whatever either planner knows.
 
-That holds as long as the number is never higher than what the server had
-accepted when it reported that it is free: with a higher one, a join by a
+This holds as long as the number in a join is never higher than what the server
+had accepted when it reported that it is free: with a higher number, a join by a
 planner with old state could take a server out of a group that serves. So an
 order counts only when its effect was reported, or when the server responded
 that it has begun. A number that a server reports comes with its group at that
-moment. It is adopted only once the planner's view shows the same group.
+moment. A planner adopts the number only once its own view shows the same group.
 """
 
 from __future__ import annotations
@@ -25,27 +25,28 @@
 
 Effect: TypeAlias = orders.SendOrder | orders.RequestReport
 
-# An order without a response is sent again after this, in seconds: above the
-# time-out of an order (0.4 s).
+# Time after which an order without a response is sent again, in seconds: above
+# the time-out of an order (0.4 s).
 ORDER_RETRY_S = 0.6
-# Other orders wait this long for the response to an order to stage, in seconds;
-# responses arrive within a few ms.
+# Time for which a server's other orders wait for the response to an order to
+# stage, in seconds; responses arrive within a few ms.
 RESPONSE_WAIT_S = 0.1
-# A heartbeat reports the effect of an order within 2 ms of its start; otherwise
-# it is sent again after a heartbeat period and its jitter, in seconds.
+# Time after which an order without a reported effect is sent again, in seconds:
+# a heartbeat period and its jitter. Normally a heartbeat reports the effect
+# within 2 ms of the order's start.
 EFFECT_WAIT_S = 1.6
-# A probe of a server's state is repeated after this, in seconds; the reported
-# state is about 0.25 s old, so an earlier probe would show nothing new.
+# Time after which a probe of a server's state is repeated, in seconds. The
+# reported state is about 0.25 s old: an earlier probe would show nothing new.
 PROBE_INTERVAL_S = 0.3
 
 
-# An order to stage without a response is sent again after this, in seconds: it
-# may have been lost. If it was accepted after all, the server has counted it
-# and refuses the second one.
+# Time after which an order to stage without a response is sent again, in
+# seconds: the order may have been lost. If the server accepted it after all,
+# the server has counted it and refuses the second order.
 STAGE_RETRY_S = 2.0
-# A load without an effect after this has failed, in seconds: almost three times
-# the 16 s that the longest takes alone; with as many loads in progress as are
-# allowed, loads took up to 25 s.
+# Time after which a load without an effect has failed, in seconds: almost three
+# times the 16 s that the longest load takes alone; with as many loads in
+# progress as are allowed, loads took up to 25 s.
 STAGE_TIMEOUT_S = 45.0
 
 _UNKNOWN = -1
@@ -70,8 +71,8 @@
         order: The order.
         issued_at: When it was issued.
         acknowledged: Whether the server responded that it has begun.
-        sequence: Sequence of the newest heartbeat known when that
-            response was handled.
+        sequence: Number of the newest heartbeat known in the first round after
+            that response; -1 before that round.
     """
 
     order: orders.Order
@@ -89,7 +90,7 @@
         self._accepted: dict[str, int] = {}
         self._contested: set[str] = set()
         self._start_times: dict[str, int] = {}
-        # Start of the loads that any planner ordered, by server.
+        # Start times of the loads that any planner ordered, by server.
         self._loading: dict[str, float] = {}
         self._empty: set[str] = set()
         # Reports whose number of orders is adopted once the planner's view of
@@ -132,7 +133,7 @@
         for name, pending in list(self._pending.items()):
             instance = servers[name]
             if _shows_effect(pending.order, instance):
-                # A heartbeat often shows the effect before the response.
+                # The effect is often reported before the response arrives.
                 if not pending.acknowledged:
                     self._increment_accepted(name)
                 del self._pending[name]
@@ -147,8 +148,8 @@
             ):
                 # The server has left the group since, or this heartbeat was
                 # sent before the join and arrived late. The number of accepted
-                # orders includes the join, so it may be newer than the group
-                # shown here.
+                # orders includes the join, so the number may be newer than the
+                # group shown here.
                 del self._pending[name]
                 self._contested.add(name)
 
@@ -158,7 +159,7 @@
         """Clears the orders of previous incarnations under the same ids.
 
         A new incarnation has accepted no orders. With the number of the
-        previous one, each order would be refused.
+        previous incarnation, each order would be refused.
         """
         for name, instance in servers.items():
             previous = self._start_times.get(name, instance.born)
@@ -175,7 +176,7 @@
             del self._start_times[name]
 
     def _update_loads(self, servers: Mapping[str, instances.Instance]) -> None:
-        """Updates which servers are loading, whichever planner ordered it."""
+        """Updates which servers are loading, on any planner's order."""
         found = {
             name: at
             for name, at in self._loading.items()
@@ -208,7 +209,7 @@
         pending = self._pending.get(event.name)
         if pending is None or pending.order != event.order:
             return
-        # Status 200: the server accepted this join when it was sent before.
+        # Status 200: the server accepted this join when sent earlier.
         is_repeat = event.status == 200 and isinstance(event.order, orders.Join)
         if event.status == 202 or is_repeat:
             if not pending.acknowledged:
@@ -216,22 +217,22 @@
             pending.acknowledged = True
         elif event.status >= 400:
             if isinstance(event.order, orders.Join | orders.Stage):
-                # Another planner's order arrived first, or a late one of this
+                # Another planner's order arrived first, or a late order of this
                 # planner.
                 self._contested.add(event.name)
                 self._reports.pop(event.name, None)
                 self._probed_at[event.name] = self._now
                 if event.name in self._empty:
-                    # It has accepted an order, and an empty server gets no
-                    # orders but loads: a previous incarnation of this planner
-                    # started one. A second load would slow down both.
+                    # The server has accepted an order, and an empty server gets
+                    # only orders to load: a previous incarnation of this
+                    # planner started a load. A second load would slow both.
                     self._loading[event.name] = self._now
             del self._pending[event.name]
 
     def handle_report(self, event: orders.ReportArrived) -> None:
         """Handles the number of accepted orders that a server reports."""
         if event.born != self._start_times.get(event.name, event.born):
-            # From another incarnation than the one that is planned for.
+            # The report is from another incarnation than the known one.
             return
         if event.accepted is None:
             return
@@ -239,11 +240,11 @@
         if not is_contested and event.accepted <= self._accepted.get(
             event.name, 0
         ):
-            # Nothing new, or a report older than this planner's last order.
+            # The report is not new, or older than this planner's last order.
             return
         # Another planner's orders may have moved the server to a group unknown
-        # here. With only the number updated, a join would remove it from that
-        # group.
+        # here. If only the number were updated, a join would remove the server
+        # from that group.
         self._contested.add(event.name)
         group = (event.member.group, event.member.epoch)
         self._reports[event.name] = _Report(event.accepted, group)
@@ -280,9 +281,9 @@
             renewed.acknowledged = pending.acknowledged
             renewed.sequence = pending.sequence
         self._pending[instance.name] = renewed
-        # An incarnation starts without orders; only a refusal shows that
-        # another planner has issued some. Staging names the number, too: its
-        # acceptance then shows that no other order was accepted in between.
+        # A new incarnation has accepted no orders; only a refusal shows that
+        # another planner has issued some. A stage order carries the number:
+        # its acceptance shows that no other order was accepted in between.
         expected = (
             self._accepted.get(instance.name, 0)
             if isinstance(order, orders.Join | orders.Stage)
@@ -314,9 +315,9 @@
             wait_s = self._now - pending.issued_at
             return not pending.acknowledged and wait_s < RESPONSE_WAIT_S
         if pending.acknowledged and isinstance(pending.order, orders.Join):
-            # It is in the group, though no heartbeat has reported it yet. The
-            # number includes this join; with it the server would accept another
-            # one.
+            # The server is in the group, though no heartbeat has reported it
+            # yet. The number of accepted orders includes this join; with that
+            # number the server would accept another join.
             return True
         return self._now - pending.issued_at < EFFECT_WAIT_S
 
@@ -389,7 +390,7 @@
 
 
 def _is_pointless(order: orders.Order, instance: instances.Instance) -> bool:
-    """Returns whether a server has left the group of an order."""
+    """Returns whether an open or close is for a group a server has left."""
     match order:
         case orders.Open(group, epoch) | orders.Close(group, epoch):
             member = instance.member
--- a/src/hickorylead/fleet/orders.py
+++ b/src/hickorylead/fleet/orders.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Open:
-    """Lets the head of a group serve; the head does not check the others."""
+    """Lets a group's head serve; the head does not check other members."""
 
     group: str
     epoch: int
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Stage:
-    """Loads a model onto the VM, without interrupting its other work."""
+    """Loads a model onto a server's VM, without interrupting the server."""
 
     model: str
 
@@ -77,7 +77,7 @@
         order: The order.
         expected: Number of orders that the server must have accepted before; it
             refuses the order if it counts another number. None if the order
-            does not depend on it.
+            does not depend on the number.
     """
 
     name: str
@@ -119,7 +119,8 @@
             report.
         born: Start time of the incarnation that responded; 0 if it does not
             report one.
-        is_turned_away: Whether it responded, but refused to report now.
+        is_turned_away: Whether the server responded, but refused to report
+            now.
         member: Its group membership at the moment `accepted` was read.
     """
 
@@ -138,9 +139,9 @@
         name: The server.
         born: Start time of the incarnation that was called; 0 if it does not
             report one.
-        retry_after_s: How long this node must send it no calls, in seconds;
-            None if not specified.
-        is_leaving: Whether it is about to end.
+        retry_after_s: How long this node must send the server no calls, in
+            seconds; None if not specified.
+        is_leaving: Whether the server is about to end.
     """
 
     name: str
--- a/src/hickorylead/fleet/peer_directory.py
+++ b/src/hickorylead/fleet/peer_directory.py
@@ -14,12 +14,13 @@
 
     from hickorylead.fleet import messages
 
-# Coordinators send each other a hello this often, in seconds.
+# Period at which coordinators send each other a hello, in seconds.
 HELLO_PERIOD_S = 0.3
-# A peer without a hello for this long is treated as lost, in seconds: four
-# hello periods, above the delays of a loop that syncs to a slow disk.
+# Time without a hello after which a peer is treated as lost, in seconds: over
+# four hello periods, above the delays of an event loop that syncs to a slow
+# disk.
 PEER_TIMEOUT_S = 1.3
-# A peer without a hello for this long is removed, in seconds.
+# Time without a hello after which a peer is removed, in seconds.
 PEER_RETENTION_S = 60.0
 
 
@@ -73,8 +74,8 @@
         peer.gateways = hello.gateways
         for node, address in zip(hello.nodes, hello.addresses, strict=False):
             if node not in self.known and node != self._node:
-                # Known only through another node: it is sent hellos, but does
-                # not count as alive yet.
+                # This node is known only through another node: it gets hellos,
+                # but does not count as alive yet.
                 self.known[node] = Peer(address, now - PEER_TIMEOUT_S)
 
     def prune(self, now: float) -> None:
@@ -104,7 +105,7 @@
 
         A node that has not sent a hello is listed by address. Connections
         resolve a name only from that node's own messages, so two nodes that
-        were listed to each other only by a third one would never connect.
+        know each other only from a third node would never connect.
         """
         addresses = {n.address for n in self.known.values()}
         unknown = [f"@{s}" for s in self.seeds if s not in addresses]
@@ -117,8 +118,8 @@
     def find_owner(self, zone: str, domain: str, now: float) -> str:
         """Returns the coordinator that plans a domain.
 
-        It is a node of the domain's own zone, if any is alive: that one still
-        reaches the domain when the zone is isolated.
+        The owner is a coordinator of the domain's own zone, if any is alive:
+        that coordinator still reaches the domain when the zone is isolated.
         """
         alive = [self._node, *self.list_alive(now)]
         local = [node for node in alive if nodes.get_zone(node) == zone]
--- a/src/hickorylead/fleet/planner.py
+++ b/src/hickorylead/fleet/planner.py
@@ -34,8 +34,9 @@
 
     from hickorylead.configuration import document as document_module
 
-# A member that has sent no heartbeat yet is waited for this long, in seconds:
-# two heartbeat periods, as one heartbeat may go to a coordinator that is gone.
+# Time for which a planner waits for the first heartbeats of a group's missing
+# members before it disbands the group, in seconds: two heartbeat periods, as
+# one heartbeat may go to a coordinator that is gone.
 FIRST_HEARTBEAT_WAIT_S = 2.5
 
 
@@ -54,8 +55,8 @@
         Args:
             number: This planner's own number, below `EPOCH_STEP`.
             policy: Trade-off between downtime and stranded accelerators.
-            start_id: Unique id of the planner's start; a part of all group
-                names that it makes.
+            start_id: Unique id of the planner's start; a part of the name of
+                each group that the planner forms.
         """
         self._policy = policy
         self._tracker = order_tracker_module.OrderTracker()
@@ -138,7 +139,7 @@
         engine = service.engine
         assert engine is not None
         # A server that was lost while it loaded stays known for a minute. If
-        # these counted, a few of them would block all loads of a small fleet.
+        # such servers counted, a few would block all loads of a small fleet.
         loading = [
             servers[name]
             for name in self._tracker.list_loading()
@@ -261,8 +262,8 @@
         """Returns whether the missing members may not have reported yet.
 
         A planner that has just started receives the servers' heartbeats one by
-        one. If it disbanded the group of the first server, each restart of all
-        coordinators would end all groups that serve.
+        one. If it disbanded the group of the first server that reports, each
+        restart of all coordinators would end all groups that serve.
         """
         since = self._first_seen.setdefault(key, self._now)
         return self._now - since < FIRST_HEARTBEAT_WAIT_S
@@ -286,8 +287,8 @@
             return True
         forming = self._group_builder.forming.get(key)
         if forming is None:
-            # Another planner formed it; allow the time of a load from the
-            # weight store.
+            # Another planner formed this group; allow the time of a load from
+            # the weight store.
             self._group_builder.forming[key] = (
                 group_builder_module.FormingGroup(
                     profile.name,
--- a/src/hickorylead/fleet/registry.py
+++ b/src/hickorylead/fleet/registry.py
@@ -13,19 +13,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# An incarnation that has ended is retained for this long, in seconds, so that
+# Time for which an incarnation that has ended is retained, in seconds, so that
 # its late heartbeats are recognized as such. Heartbeats that a partition
-# delayed arrive when it heals; partitions are reported to last seconds.
+# delayed arrive when the partition heals; partitions are reported to last
+# seconds.
 GONE_RETENTION_S = 120.0
-# A server that is known from the disk alone is not treated as lost for this
-# long after a restart, in seconds: two heartbeat periods, as one heartbeat may
+# Time after a restart for which a server that is known from the disk alone is
+# not treated as lost, in seconds: two heartbeat periods, as one heartbeat may
 # go to a coordinator that is gone. With a shorter time a working group was
-# closed 1.85 s after all coordinators restarted, as the heartbeat of one
-# member arrived at 1.88 s.
+# closed 1.85 s after all coordinators restarted, as the heartbeat of one member
+# arrived at 1.88 s.
 FIRST_HEARTBEAT_WAIT_S = 2.5
-# A node is sent no full sync if its digest equals the one that this node had at
-# most this long ago, in seconds: the changes since are in transit. A batch of
-# changes is sent within 0.05 s, and the hello with the digest every 0.25 s.
+# Time for which this node keeps its previous digests, in seconds. Another node
+# whose digest equals one of them gets no full sync: the changes since then are
+# in transit. A batch of changes is sent within 0.05 s, and the hello with the
+# digest every 0.25 s.
 DIGEST_RETENTION_S = 0.6
 
 
@@ -36,7 +38,7 @@
         """Makes an empty registry."""
         self.instances: dict[str, instances.Instance] = {}
         self.last_update_at: dict[str, float] = {}
-        # Number of the heartbeat that last reported a change.
+        # Number of the heartbeat that last reported a change, by server.
         self.changed_sequences: dict[str, int] = {}
         # When each server was restored from disk, for servers that have sent no
         # heartbeat since.
@@ -94,11 +96,12 @@
             sequence: Number of its newest heartbeat.
             since: Number of the heartbeat that last reported a change. If that
                 change has not arrived here yet, the state known here is old.
-                With the newer number, it would take precedence over the change.
+                With the newer number, the old state would take precedence over
+                the change.
             now: Present time.
             born: Start time of the incarnation that sent the heartbeats. With
-                the higher number of a previous incarnation, those of the
-                present one would seem old.
+                the higher number of a previous incarnation, heartbeats of the
+                present incarnation would seem old.
         """
         known = self.instances.get(name)
         if known is None or known.phase == instances.PHASE_GONE:
@@ -121,8 +124,8 @@
 
         Without this, after a power loss of all nodes, gateways would refuse
         all requests until the last server of each group had sent a heartbeat.
-        Restored servers may be used, but count as silent, and any update of
-        them is newer.
+        Restored servers may be used, but count as silent, and any later update
+        of their state counts as newer.
         """
         for instance in stored:
             if instance.phase == instances.PHASE_GONE:
@@ -135,7 +138,7 @@
                 self._restored[old.name] = now
 
     def awaits_first_heartbeat(self, name: str, now: float) -> bool:
-        """Returns whether a restored server may yet send a heartbeat."""
+        """Returns whether a restored server still has time for a heartbeat."""
         restored_at = self._restored.get(name)
         return (
             restored_at is not None
@@ -145,8 +148,8 @@
     def has_ended(self, name: str, born: int, now: float) -> bool:
         """Returns whether an incarnation is known to have ended unannounced.
 
-        False for one that announced its end: requests that it still ran were
-        ended by the planned shutdown.
+        Returns False for an incarnation that announced its end: the planned
+        shutdown ended the requests that it still ran.
         """
         known = self.instances.get(name)
         if known is None:
--- a/src/hickorylead/fleet/server_codec.py
+++ b/src/hickorylead/fleet/server_codec.py
@@ -20,8 +20,8 @@
 
     Attributes:
         method: HTTP method.
-        path: Its path.
-        body: JSON; None without a body.
+        path: Path of the call.
+        body: JSON body; None if there is none.
     """
 
     method: str
@@ -50,9 +50,9 @@
     """A notice about future calls in a server's HTTP response.
 
     Attributes:
-        retry_after_s: How long this node must send it no calls, in seconds;
-            None if not specified.
-        is_leaving: Whether it is about to end.
+        retry_after_s: How long this node must send the server no calls, in
+            seconds; None if not specified.
+        is_leaving: Whether the server is about to end.
     """
 
     retry_after_s: float | None = None
--- a/src/hickorylead/fleet/standbys.py
+++ b/src/hickorylead/fleet/standbys.py
@@ -14,8 +14,8 @@
 # (0.2 s), its VM, where the model is staged (1.1 to 1.6 s), or the weight store
 # (12 to 16 s). Lower values are closer to serving.
 WARM, STAGED, COLD = 0, 1, 2
-# A server is a standby once it has been free for this long, in seconds; before
-# that, it may be moving from one group to the next.
+# Time for which a server must have been free to count as a standby, in seconds;
+# before that, it may be moving from one group to the next.
 IDLE_S = 1.2
 
 
@@ -65,8 +65,8 @@
 ) -> str:
     """Returns the model that a server should stage as its secondary one.
 
-    It is the model with the greatest share, other than the one in its memory;
-    empty if there is none.
+    This is the model with the greatest share, other than the model in the
+    server's memory; empty if there is none.
     """
     candidates = [m for m in engine.models if m.name != loaded_model]
     if not candidates:
--- a/src/hickorylead/fleet/supervisor.py
+++ b/src/hickorylead/fleet/supervisor.py
@@ -27,20 +27,22 @@
     )
 
 PLAN_PERIOD_S = 0.25
-# Updates that arrive within this time after a planning round wait for the next
-# tick, in seconds. A round processes all servers; when 171 of them form groups
-# at once, one round for each of 150 updates a second takes half a core.
+# Shortest time after a planning round in which an update may start another one,
+# in seconds; an earlier update waits for the next tick. A round processes all
+# servers; when 171 servers form groups at once, one round for each of 150
+# updates a second takes half a core.
 MIN_PLAN_INTERVAL_S = 0.02
-# Heartbeat periods after which a node that has started has received a heartbeat
-# of every server.
+# Number of heartbeat periods after which a node that has started has received a
+# heartbeat from every server.
 SETTLE_PERIODS = 1.4
-# Heartbeat periods without a heartbeat after which a server gets no orders, as
-# orders based on old state may close a serving group. If it is alive, another
-# node receives its heartbeats and plans for it. After the loss of a node, the
-# heartbeats of its servers reach another one within 1.1 periods and a second.
+# Number of heartbeat periods without a heartbeat after which a node sends a
+# server no orders, as orders based on old state may close a serving group. If
+# the server is alive, another node receives its heartbeats and plans for it.
+# After the loss of a node, the heartbeats of its servers reach another node
+# within 1.1 periods and a second.
 STALE_PERIODS = 2.5
-# A node treats its list of servers as complete this long after a full sync from
-# another node, in seconds.
+# Time after a full sync from another node at which a node treats its list of
+# servers as complete, in seconds.
 FULL_SYNC_SETTLE_S = 0.2
 
 Effect: TypeAlias = orders.SendOrder | orders.RequestReport | notes.Note
@@ -85,18 +87,19 @@
             start_id=start_id,
         )
         self._has_traffic = not identity.may_bootstrap
-        # A node that has received only some servers would form groups that
-        # exist already.
+        # A node that has received the state of only some servers would form
+        # groups that exist already, so planning starts later.
         settle_s = 0.0 if identity.may_bootstrap else SETTLE_PERIODS
         self._planning_starts_at = now + settle_s * identity.heartbeat_s
         self._next_plan = now
         self._planned_at = -1e9
-        # Until when this node must not call a server, by name and incarnation.
+        # Time until which this node must not call a server, by the server's
+        # name and incarnation.
         self._pauses: dict[tuple[str, int], float] = {}
         self.services: tuple[document_module.Service, ...] | None = None
 
     def has_full_view(self, now: float) -> bool:
-        """Returns whether it has had the time to receive all heartbeats."""
+        """Returns whether the node had time to receive all heartbeats."""
         return now >= self._planning_starts_at
 
     def record_full_sync(self, now: float) -> None:
@@ -249,7 +252,8 @@
             has_traffic=self._has_traffic,
             now=now,
         )
-        # An order that is not sent counts as unanswered and is issued again.
+        # An order to a paused server is not sent: it counts as unanswered and
+        # is issued again.
         return [
             effect
             for item in issued
@@ -284,7 +288,7 @@
     def _count_planners(self) -> int:
         """Returns how many coordinators may start loads.
 
-        Unreachable nodes are included: an isolated one continues to repair its
+        Unreachable nodes are included: an isolated node continues to repair its
         zone. A peer is removed only after a minute without a hello.
         """
         known = 1 + len(self._peers.known)
@@ -295,5 +299,6 @@
         if owner != self._identity.node:
             return False
         # Without a leader this node is partitioned from the other coordinators.
-        # They plan their own zones, and its orders would conflict with theirs.
+        # They plan their own zones, and this node's orders would conflict with
+        # theirs.
         return instance.zone == self._zone or self._has_leader(now)
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -177,14 +177,15 @@
 def _(context):
     simulation = context.simulation
     old = simulation.find_leader()
-    # It has just sent messages to its voters when it is frozen.
+    # The leader has just sent messages to its voters when it is frozen.
     simulation.read(old)
     simulation.frozen.add(old)
     others = [n for n in simulation.coordinator_names if n != old]
     replace_until_acknowledged(simulation, others[0], 8)
     simulation.run(2.0)
-    # The replies of its voters are first in its buffers. The read follows them
-    # directly, before the messages that show that another coordinator leads.
+    # The voters' replies are first in the leader's buffers. The read follows
+    # the replies directly, before the messages that show that another
+    # coordinator leads.
     buffered = simulation.buffers[old]
     replies = [
         event
@@ -308,7 +309,8 @@
     for other in simulation.coordinator_names[1:]:
         simulation.partition(node, other)
     simulation.start_gateway(node)
-    # The coordinator of its zone replies first, the others 0.5 s later.
+    # The coordinator of the gateway's zone replies first, the others 0.5 s
+    # later.
     simulation.run(0.5)
     for other in simulation.coordinator_names[1:]:
         simulation.partitions.discard(frozenset((node, other)))
@@ -490,7 +492,7 @@
     )
 
 
-@when("a server's address is taken over and its old heartbeat arrives late")
+@when("a server's address is taken over and a heartbeat of that server is late")
 def _(context):
     simulation = context.simulation
     previous, _ = pick_member(simulation)
@@ -509,7 +511,7 @@
     context.previous_name = previous.name
 
 
-@then("the old incarnation is gone at every gateway")
+@then("the ended incarnation is gone at every gateway")
 def _(context):
     for gateway in context.simulation.gateways.values():
         found = gateway._registry.instances.get(context.previous_name)
@@ -630,7 +632,7 @@
         make("e1", "", ()),
     ]
     # In another domain the large model has all servers that it needs, the small
-    # one has none.
+    # model has none.
     for number in range(8):
         member = instances.Membership("g1", 1, number % 4, "open")
         context.present.append(
@@ -712,7 +714,7 @@
         context.joins.append(plan_once(subject, present, service)[0])
 
 
-@then("its next group has another name and a higher epoch")
+@then("the planner's next group has another name and a higher epoch")
 def _(context):
     first, second = context.joins
     assert first.group != second.group, first
@@ -747,7 +749,7 @@
     context.found = role.registry.instances[member.name]
 
 
-@then("the change is applied")
+@then("the change of group is applied")
 def _(context):
     assert not context.found.has_group, context.found
 
@@ -790,7 +792,10 @@
 # Gateways and their home coordinators.
 
 
-@when("a gateway's home coordinator is killed, then a member elsewhere drains")
+@when(
+    "a gateway's home coordinator is killed, then a server in another zone "
+    "drains"
+)
 def _(context):
     simulation = context.simulation
     simulation.kill(simulation.coordinator_names[0])
@@ -800,13 +805,16 @@
     simulation.send_heartbeat(member)
 
 
-@then("no gateway uses the group with it for requests after {limit:g} seconds")
+@then(
+    "no gateway sends requests to the draining server's group after {limit:g} "
+    "seconds"
+)
 def _(context, limit):
     simulation = context.simulation
     simulation.run(limit)
     for gateway in simulation.gateways.values():
         offered = gateway._directory.find(context.head.name)
-        # Its head may serve in a new group by then.
+        # The head may serve in a new group by then.
         assert offered is None or offered.epoch != context.epoch, offered
 
 
@@ -864,7 +872,7 @@
                 ] += 1
 
 
-@when("10 seconds pass, the last 5 with a lost member each")
+@when("10 seconds pass and a member is lost in each of the last 5")
 def _(context):
     simulation = context.simulation
     context.quiet, context.busy = (
@@ -891,7 +899,9 @@
     check_traffic(context.quiet, limit)
 
 
-@then("less than {limit:g} KB a second in the others")
+@then(
+    "a gateway transfers less than {limit:g} KB a second in the other seconds"
+)
 def _(context, limit):
     check_traffic(context.busy, limit)
 
@@ -907,7 +917,7 @@
     assert max(counts.values()) == 1, max(counts.items(), key=lambda kv: kv[1])
 
 
-@when("a gateway has requests")
+@when("a gateway reports requests to its home coordinator")
 def _(context):
     simulation = context.simulation
     name = next(iter(simulation.gateways))
@@ -956,7 +966,8 @@
         simulation.run(0.8)
     voters = simulation.coordinators[simulation.find_leader()].voter.voters
     assert role.voter.member not in voters, voters
-    # Its buffered messages are lost: its connections were reset meanwhile.
+    # The coordinator's buffered messages are lost: its connections were reset
+    # meanwhile.
     simulation.buffers.pop(context.removed_node, None)
     simulation.unfreeze(context.removed_node)
 
@@ -984,7 +995,7 @@
         assert len(role.peers.list_alive(simulation.now)) == 5
 
 
-@when("a gateway starts and the first replies but one are lost")
+@when("a gateway starts and all first replies but one are lost")
 def _(context):
     simulation = context.simulation
     context.node = nodes.make_node_name("z1", "front99", nodes.GATEWAY)
@@ -995,17 +1006,22 @@
     simulation.heal()
 
 
-@then("it receives messages from all six coordinators within {limit:g} second")
+@then(
+    "the gateway receives messages from all six coordinators within {limit:g} "
+    "second"
+)
 def _(context, limit):
     simulation = context.simulation
-    # It starts without a known leader, so it sends hellos to all of them.
+    # The gateway starts without a known leader, so it sends hellos to all
+    # coordinators.
     gateway = simulation.gateways[context.node]
     gateway._next_other_hello = simulation.now
     simulation.run_until(lambda: len(gateway._last_received_at) == 6, limit)
 
 
 @when(
-    "a home coordinator is partitioned for 3 s, then a member elsewhere drains"
+    "a home coordinator is partitioned for 3 s, then a server in another zone "
+    "drains"
 )
 def _(context):
     simulation = context.simulation
@@ -1015,7 +1031,7 @@
     member, context.head = pick_member(simulation, zone="z2")
     context.epoch = context.head.member.epoch
     for node in (simulation.coordinator_names[0],):
-        # The member's heartbeats reach the others only.
+        # The member's heartbeats reach the other coordinators only.
         simulation.partition(node, member.name)
     member.phase = instances.PHASE_DRAINING
     simulation.send_heartbeat(member)
--- a/tests/steps/load_steps.py
+++ b/tests/steps/load_steps.py
@@ -52,14 +52,16 @@
     )
 
 
-@given("each has {count:d} servers that serve and lack the other model")
+@given(
+    "each coordinator has {count:d} servers that serve and lack the other model"
+)
 def _(context, count):
     context.secondary = [
         {f"c{number}s{n}" for n in range(count)} for number in range(3)
     ]
 
 
-@when("one of them gets an empty server every 3 seconds for a minute")
+@when("one coordinator gets an empty server every 3 seconds for a minute")
 def _(context):
     store = WeightStore(7)
     budgets = [loads.LoadBudget() for _ in range(3)]
@@ -103,7 +105,7 @@
         now += STEP_S
 
 
-@then("the empty servers hold their model within {limit:g} seconds each")
+@then("each empty server holds its model within {limit:g} seconds")
 def _(context, limit):
     assert len(context.waits_s) >= 14, context.waits_s
     assert max(context.waits_s) <= limit, context.waits_s
@@ -190,7 +192,7 @@
     assert first == second
 
 
-@then("not while an accepted load is in progress")
+@then("the order is not sent again while an accepted load is in progress")
 def _(context):
     _, item = context.issued[-1]
     response = orders.OrderAnswered(item.name, item.order, 202)
@@ -212,7 +214,7 @@
 
 
 def make_small_group(number, state=instances.GROUP_OPEN):
-    """Returns the two members of a small group, with large staged."""
+    """Returns a small group's two members, with the large model staged."""
     group = f"g{64 * number}"
     return [
         make_member(f"{group}a", group, 0, state, "small", "large"),
@@ -271,7 +273,10 @@
     )
 
 
-@then("two more small groups are formed, and the empty ones load large")
+@then(
+    "two more small groups are formed, and the empty servers load the large "
+    "model"
+)
 def _(context):
     plan_round(context.subject, context.present, 10.0)
     effects = plan_round(make_planner(), context.present, 12.0)
@@ -286,7 +291,7 @@
     }, staged
 
 
-@given("a domain with three small groups that have large staged")
+@given("a domain with three small groups that have the large model staged")
 def _(context):
     context.subject = make_planner()
     context.groups = [make_small_group(n) for n in (1, 2, 3)]
@@ -303,7 +308,7 @@
     context.retired = {o.group for o in closes.values()}
 
 
-@then("once they have ended a large group is formed")
+@then("a large group is formed once the retired groups have ended")
 def _(context):
     present = [m for group in context.groups for m in group]
     reported = [
@@ -336,13 +341,13 @@
     context.present = [*make_small_group(2), *closing, *free]
 
 
-@then("its free servers are left free")
+@then("no group is formed from the free servers")
 def _(context):
     effects = plan_round(context.subject, context.present, 10.0)
     assert not list_orders(effects, orders.Join), effects
 
 
-@given("a planner whose loads are refused by three empty servers")
+@given("a planner whose load orders are refused by three empty servers")
 def _(context):
     context.subject = make_planner()
     context.present = [make_server(f"e{n}") for n in range(3)]
@@ -357,7 +362,7 @@
         now += STEP_S
 
 
-@then("it counts 3 loads in progress and orders none of them again")
+@then("the planner counts 3 loads in progress and orders none of them again")
 def _(context):
     assert len(context.subject._tracker.list_loading()) == 3
     assert context.order_counts == {"e0": 1, "e1": 1, "e2": 1}, (
@@ -380,7 +385,7 @@
     simulation.run(1.2)
 
 
-@when("it restarts with what its disk holds")
+@when("that coordinator restarts with what its disk holds")
 def _(context):
     simulation, node = (
         context.simulation,
@@ -426,7 +431,7 @@
     return set(list_orders(effects, orders.Stage))
 
 
-@when("three of them load and two of these are lost")
+@when("three of the servers load and two of these three are lost")
 def _(context):
     context.first = plan_small_store(context, 10.0)
     assert len(context.first) == 3, context.first
@@ -441,14 +446,17 @@
     assert not plan_small_store(context, 12.0)
 
 
-@then("the other two are ordered to load")
+@then("the other two servers are ordered to load")
 def _(context):
     lost = sorted(context.first)[:2]
     others = {s.name for s in context.present} - context.first
     assert plan_small_store(context, 14.0, lost) == others
 
 
-@when("a load is requested for a group that lacks 3 and one that lacks 1")
+@when(
+    "one server's load is requested for a group that lacks 3 and one that "
+    "lacks 1"
+)
 def _(context):
     context.budget = loads.LoadBudget()
     in_progress = loads.LoadsInProgress(0, 0)
--- a/tests/steps/server_restart_steps.py
+++ b/tests/steps/server_restart_steps.py
@@ -57,7 +57,7 @@
     context.simulation.run(0.01)
 
 
-@when("it restarts and sends its first heartbeat")
+@when("the server restarts and sends its first heartbeat")
 def _(context):
     deliver_heartbeat(context, make_heartbeat(1, CURRENT_START_MS))
 
@@ -156,7 +156,7 @@
     assert issue_order(context, orders.Stage("small"), 15.0).expected == 0
 
 
-@when("an update reports that it is leaving, with heartbeat {number:d}")
+@when("an update reports that the server is leaving, with heartbeat {number:d}")
 def _(context, number):
     leaving = attrs.evolve(
         make_previous_heartbeat(number), phase=instances.PHASE_DRAINING
@@ -168,12 +168,12 @@
     )
 
 
-@when("its heartbeat {number:d} reports that it is ready")
+@when("the server's heartbeat {number:d} reports that it is ready")
 def _(context, number):
     deliver_heartbeat(context, make_previous_heartbeat(number))
 
 
-@then("it is registered as leaving, with heartbeat {number:d}")
+@then("the server is registered as leaving, with heartbeat {number:d}")
 def _(context, number):
     name = make_previous_heartbeat(number).name
     found = context.simulation.coordinators[context.node].registry.instances[
--- a/tests/steps/takeover_steps.py
+++ b/tests/steps/takeover_steps.py
@@ -139,7 +139,7 @@
     fixture.deliver_reports()
 
 
-@when("it joins them and then receives older heartbeats and new reports")
+@when("the planner joins them, then receives older heartbeats and new reports")
 def _(context):
     fixture = context.fixture
     joins = fixture.plan()
@@ -155,13 +155,13 @@
     fixture.deliver_reports()
 
 
-@then("the planner joins none of them")
+@then("the planner joins none of the servers")
 def _(context):
     for _ in range(10):
         assert not context.fixture.plan()
 
 
-@then("it joins them once they report that they have left the group")
+@then("the planner joins the servers once they report that they left the group")
 def _(context):
     fixture = context.fixture
     for server in fixture.servers:
