--- a/src/hickorylead/crashes/crash_guard.py
+++ b/src/hickorylead/crashes/crash_guard.py
@@ -12,20 +12,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A lost run is reported a second time after this, in seconds: the first message
-# is lost if the coordinator's process ends, and a restart takes a second or
-# less.
+# Time after which the gateway reports a lost run a second time, in seconds: the
+# first message is lost if the coordinator's process ends, and the coordinator
+# restarts in a second or less.
 RESEND_AFTER_S = 1.5
 # Maximum number of lost runs that a gateway keeps for its next home
-# coordinator: at the peak some 23 a replica, for many replicas lost together.
+# coordinator: at the peak a lost replica causes some 23 lost runs, and many
+# replicas may be lost together.
 MAX_LOST_RUNS = 512
-# A request that got a complete response within this time, in seconds, is not
-# treated as the cause of server losses: requests that many callers repeat are
-# in flight at every server that is lost. The time is longer than a series of
-# losses, 5 to 10 s.
+# How long after a complete response a request is not treated as the cause of
+# server losses, in seconds: a request that many callers repeat is in flight at
+# every server that is lost. The time is longer than a series of losses, which
+# takes 5 to 10 s.
 COMPLETED_RETENTION_S = 60.0
-# Maximum number of completed requests that are kept, some 150 bytes each: at 10
-# requests/s, the peak of a gateway, 60 s make 600.
+# Maximum number of completed requests that are kept, some 150 bytes each. A
+# gateway completes 600 requests in 60 s at its peak load of 10 requests/s.
 MAX_COMPLETED = 2048
 
 
@@ -36,8 +37,8 @@
     Attributes:
         crash: The lost run, as of the time of its loss.
         lost_at: When the run was lost.
-        sent_at: When it was last reported.
-        is_resent: Whether it was reported more than once.
+        sent_at: When the run was last reported.
+        is_resent: Whether the run was reported more than once.
     """
 
     crash: messages.Crash
@@ -60,8 +61,8 @@
         """
         self._node = node
         self._blocked: dict[int, float] = {}
-        # Suspected requests: end of the suspicion, and whether this gateway may
-        # send them.
+        # For each suspected request: end of the suspicion, and whether this
+        # gateway may send the request.
         self._suspected: dict[int, tuple[float, bool]] = {}
         self._lost_runs: collections.deque[_LostRun] = collections.deque(
             maxlen=MAX_LOST_RUNS
@@ -69,8 +70,8 @@
         self._completed: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
-        # Requests that coordinators suspect or block, but got a complete
-        # response here; not reported yet.
+        # Requests that coordinators suspect or block, but that got a complete
+        # response at this gateway; it has not reported these responses yet.
         self._cleared: set[int] = set()
         self._home_coordinator = ""
 
@@ -88,7 +89,7 @@
     ) -> float | None:
         """Returns how much longer a request is blocked, in seconds.
 
-        None if it is not blocked.
+        Returns None if the request is not blocked.
         """
         until = self._blocked.get(request_hash, now)
         return until - now if until > now else None
@@ -96,8 +97,8 @@
     def may_send(self, request_hash: int, *, runs: int, now: float) -> bool:
         """Returns whether this gateway may send a request that is not blocked.
 
-        Only one gateway may send a suspected request, and each submission of it
-        to one server only.
+        Only one gateway may send a suspected request, and it may send each
+        submission of the request to one server only.
 
         Args:
             request_hash: The request hash.
@@ -110,8 +111,9 @@
     def is_suspected(self, request_hash: int, now: float) -> bool:
         """Returns whether a request may have ended a server recently.
 
-        This holds if coordinators suspect it, or if this gateway lost a run of
-        it within `crash_history.PENDING_S` and got no complete response.
+        This holds if coordinators suspect the request, or if this gateway lost
+        a run of it in the last `crash_history.PENDING_S` seconds and got no
+        complete response to it.
         """
         until, _ = self._suspected.get(request_hash, (now, True))
         if until > now:
@@ -127,7 +129,7 @@
     ) -> None:
         """Records that a server may have run a request without completing it.
 
-        Coordinators find out whether the server's incarnation ended as well.
+        Coordinators find out whether the server's incarnation has ended.
         """
         if self._was_completed(request_hash, now):
             return
@@ -147,8 +149,8 @@
         """Applies the blocked and suspected requests of a coordinator.
 
         Blocks that the update does not list stay until they expire, because the
-        coordinator may have restarted and lost some. Suspicions that it does
-        not list are dropped.
+        coordinator may have restarted and lost some blocks. Suspicions that the
+        update does not list are dropped.
         """
         for block in update.blocks:
             if self._was_completed(block.content, now):
@@ -172,7 +174,8 @@
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home_coordinator: Its name; empty if the gateway has none.
+            home_coordinator: Name of the gateway's home coordinator; empty if
+                it has none.
             now: Present time.
         """
         while (
@@ -199,8 +202,9 @@
             attrs.evolve(run.crash, age_ms=int((now - run.lost_at) * 1000))
             for run in due
         )
-        # All losses up to now are cleared, not only those before the response:
-        # a request that got a complete response does not crash servers.
+        # Age 0 clears all losses of the request up to now, not only the losses
+        # before the response: a request that got a complete response does not
+        # crash servers.
         clearances = tuple(messages.Clearance(c, 0) for c in sorted(cleared))
         return [
             (
--- a/src/hickorylead/crashes/crash_history.py
+++ b/src/hickorylead/crashes/crash_history.py
@@ -1,7 +1,7 @@
 """Lost runs by request and server, merged from all nodes.
 
-The state can be merged in any order and any number of times: nodes that were
-partitioned or restarted send each other all of theirs and converge.
+Lost runs can be merged in any order and any number of times: nodes that were
+partitioned or restarted send each other their complete state and converge.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Number of servers that must end while running a request before it is blocked.
-# Two are not enough evidence: a stream that loses its server continues at
-# another one, which may end as well. A request and its caller's retry make four
-# attempts, so a harmless request can lose a third server; only its last attempt
-# is then refused.
+# Number of servers that must end while running a request before the request is
+# blocked. Two servers are not enough evidence: a stream that loses its server
+# continues at another server, which may end as well. A request and its caller's
+# retry make four attempts, so a harmless request can lose a third server; only
+# its last attempt is then refused.
 BLOCK_THRESHOLD = 3
-# A lost run counts only if the incarnation of its server ends within this time,
-# in seconds. Coordinators may be down for some seconds and receive the
-# first heartbeats of servers only after that.
+# Time within which the server's incarnation must be known to have ended for a
+# lost run to count, in seconds. Coordinators may be down for some seconds and
+# receive the first heartbeats of servers only after that.
 PENDING_S = 30.0
-# A request is blocked until the third last loss of a server that ran it is this
-# old, in seconds. This is long compared to the seconds in which a caller
-# retries, and short for a request that was blocked wrongly. A request that
-# still crashes servers costs three of them in each such period.
+# A request is blocked until this many seconds after the third last loss of a
+# server that ran it. The block is long compared to the seconds in which a
+# caller retries, and short for a request that was blocked wrongly. A request
+# that still crashes servers costs three servers in each such period.
 RETENTION_S = 900.0
-# If `BLOCK_THRESHOLD` - 1 servers ended while running a request, it is
-# suspected until the first of these losses is this old, in seconds.
+# If `BLOCK_THRESHOLD` - 1 servers ended while running a request, the request is
+# suspected until this many seconds after the first of these losses.
 SUSPICION_S = 60.0
 # If more requests than this are suspected, all suspicions are ignored: the
 # failure of a zone or switch ends many servers at once, while they run requests
@@ -76,12 +76,12 @@
         """Makes an empty history."""
         self._losses: dict[int, dict[Incarnation, _Loss]] = {}
         self._cleared: dict[int, float] = {}
-        # Requests whose lost runs are not yet known to have ended their server,
-        # by the server's incarnation.
+        # Requests that lost a run at a server incarnation that is not known to
+        # have ended, by incarnation.
         self._pending: dict[Incarnation, set[int]] = collections.defaultdict(
             set
         )
-        # Requests with one lost run, the oldest first.
+        # Requests with exactly one lost run, the oldest first.
         self._single: dict[int, None] = {}
         self._count = 0
         self._digest = 0
@@ -106,8 +106,9 @@
         incarnation = Incarnation(crash.server, crash.born)
         known = self._losses.get(crash.content, {}).get(incarnation)
         if known is not None:
-            # The earliest time counts: nodes that repeat an age saved on their
-            # disk would otherwise keep a loss from ever expiring.
+            # The earliest loss time counts. A restarted node reports the age
+            # that it saved on its disk, which is too low by now; such reports
+            # would otherwise keep a loss from ever expiring.
             known.lost_at = min(known.lost_at, at)
             return crash.has_ended and self._record_end(
                 crash.content, incarnation
@@ -128,7 +129,7 @@
     def confirm(
         self, has_ended: Callable[[Incarnation], bool]
     ) -> list[Incarnation]:
-        """Records ended servers of lost runs; returns their incarnations."""
+        """Records which servers of lost runs ended; returns incarnations."""
         ended = [
             incarnation
             for incarnation in self._pending
@@ -142,7 +143,7 @@
     def merge_clearance(
         self, clearance: messages.Clearance, now: float
     ) -> bool:
-        """Removes losses of a cleared request; returns whether it is new."""
+        """Merges a clearance and removes losses; returns whether it is new."""
         request_hash = clearance.content
         at = now - clearance.age_ms / 1000.0
         if at <= max(self._cleared.get(request_hash, -1e9), now - RETENTION_S):
@@ -171,7 +172,7 @@
                 self._drop_clearance(request_hash)
 
     def find_blocked(self) -> dict[int, float]:
-        """Returns the end of the block by hash of each blocked request."""
+        """Returns when the block of each blocked request ends, by its hash."""
         if self._blocked is None:
             self._blocked, self._suspected = {}, {}
             for request_hash, losses in self._losses.items():
@@ -185,9 +186,9 @@
         return self._blocked
 
     def find_suspected(self, now: float) -> dict[int, float]:
-        """Returns the end of the suspicion by hash of each suspected request.
+        """Returns when the suspicion of each suspected request ends, by hash.
 
-        Empty if there are more than `MAX_SUSPECTED`.
+        Returns nothing if more than `MAX_SUSPECTED` requests are suspected.
         """
         self.find_blocked()
         suspected = {c: at for c, at in self._suspected.items() if at > now}
@@ -258,7 +259,7 @@
             del self._pending[incarnation]
 
     def _update_single(self, request_hash: int) -> None:
-        """Updates whether a request is one of those with one lost run."""
+        """Updates whether a request is stored as one with one lost run."""
         if len(self._losses.get(request_hash, ())) == 1:
             self._single[request_hash] = None
         else:
@@ -267,8 +268,8 @@
     def _evict(self) -> None:
         """Drops the oldest request with one lost run, or the oldest of all.
 
-        Many requests that lost one server each can't evict one that lost
-        several.
+        Many requests that lost one run each can't evict a request that lost
+        several runs.
         """
         evicted = next(iter(self._single or self._losses))
         for incarnation in list(self._losses[evicted]):
--- a/src/hickorylead/crashes/crash_tracker.py
+++ b/src/hickorylead/crashes/crash_tracker.py
@@ -1,8 +1,8 @@
 """Tracks requests that crash servers, at one coordinator.
 
 Gateways report their lost runs to their home coordinator. Coordinators exchange
-them, find out which servers ended, and send their gateways the requests to
-block.
+the lost runs, find out which servers ended, and send their gateways the
+requests to block.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 Sent: TypeAlias = tuple[str, messages.Message]
 
 PRUNE_PERIOD_S = 1.0
-# Where digests are not compared, all lost runs are sent again at this interval,
-# in seconds, if there are any: within it a process that restarted has the
-# blocked requests again.
+# Where digests are not compared: interval at which all lost runs, if there are
+# any, are sent again, in seconds. A process that restarted has the blocked
+# requests again within this time.
 FULL_SYNC_PERIOD_S = 5.0
 
 
@@ -43,7 +43,7 @@
         self._history = crash_history.CrashHistory()
         self._sent_blocked: frozenset[int] = frozenset()
         self._sent_suspected: dict[int, str] = {}
-        # Gateways that have this home coordinator.
+        # Gateways whose home coordinator is this node.
         self._own_gateways: tuple[str, ...] = ()
         self._other_home_coordinators: tuple[str, ...] = ()
         self._next_prune_at = 0.0
@@ -62,7 +62,7 @@
     def list_new_servers(self, update: messages.CrashNews) -> list[str]:
         """Returns the servers of lost runs that were not reported before.
 
-        Lists those that are not known to have ended, each once, sorted.
+        Lists only servers that are not known to have ended, each once, sorted.
         """
         servers = {
             crash.server
@@ -98,8 +98,9 @@
     def restore(self, saved: messages.CrashNews, now: float) -> None:
         """Restores the state that was saved before a restart.
 
-        Its ages are as of the time when it was saved; the earlier times of a
-        node that has the real ages take precedence.
+        The saved ages are as of the time of saving, so the losses look later
+        than they were. The earlier times of a node that has the real ages take
+        precedence.
         """
         self.merge(saved, (), now)
 
@@ -108,8 +109,8 @@
     ) -> list[Sent]:
         """Returns a full update if another coordinator's digest differs.
 
-        Both coordinators send their full history. After that, one that was
-        partitioned or lost its disk has the same state.
+        Both coordinators send their full history. After that, a coordinator
+        that was partitioned or lost its disk has the same state as the other.
         """
         differs = self._coordinators.needs_full_sync(
             node, digest, self.digest, now
@@ -121,15 +122,17 @@
     def sync_gateway(
         self, node: str, digest: int, *, is_new: bool, now: float
     ) -> list[Sent]:
-        """Returns a block update if the digests of gateway and node differ.
+        """Returns a block update if digests of gateway and coordinator differ.
 
-        A gateway that started or changed its home coordinator gets it at once:
-        it would send requests that all others block.
+        A gateway that started or changed its home coordinator gets the update
+        at once: it would otherwise send requests that all other gateways block.
 
         Args:
             node: The gateway.
-            digest: Digest of the hashes that it blocks or treats as suspected.
-            is_new: Whether this has just become its home coordinator.
+            digest: Digest of the hashes of the requests that the gateway blocks
+                or treats as suspected.
+            is_new: Whether this node has just become the gateway's home
+                coordinator.
             now: Present time.
         """
         own_digest = crash_guard.digest_request_hashes(
@@ -153,7 +156,7 @@
         Args:
             has_ended: Returns whether a server's incarnation is known to have
                 ended.
-            gateways: Gateways that have this home coordinator.
+            gateways: Gateways whose home coordinator is this node.
             now: Present time.
             other_home_coordinators: Other coordinators that are home
                 coordinators of gateways.
@@ -176,8 +179,8 @@
     def make_block_update(self, now: float) -> messages.BlockNews:
         """Returns all blocked and suspected requests, for the gateways.
 
-        At most one of these gateways may send a suspected request, so that it
-        ends no more than one further server before it is blocked.
+        At most one of these gateways may send a suspected request, so that the
+        request ends no more than one further server before it is blocked.
         """
         blocked = self._history.find_blocked()
         blocks = tuple(
@@ -203,7 +206,7 @@
     def _choose_gateways(self, now: float) -> dict[int, str]:
         """Returns the gateway that may send each suspected request.
 
-        The name is empty if another coordinator chooses the gateway.
+        The gateway's name is empty if another coordinator chooses the gateway.
         """
         coordinators = self._other_home_coordinators
         if self._own_gateways:
@@ -221,7 +224,8 @@
     def make_evidence_update(self, now: float) -> messages.CrashNews:
         """Returns only the lost runs for which a request is blocked.
 
-        After the loss of a zone there are thousands of runs that block nothing.
+        After the loss of a zone there are thousands of lost runs that do not
+        lead to a block.
         """
         blocked = self._history.find_blocked()
         crashes = tuple(
--- a/src/hickorylead/crashes/messages.py
+++ b/src/hickorylead/crashes/messages.py
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class Crash:
-    """A lost run of a request: its server may have ended while running it.
+    """A lost run of a request: the server may have ended while running it.
 
     Attributes:
         content: The request hash.
-        server: The server that ran it.
+        server: The server that ran the request.
         born: Start of the server's incarnation, in Unix milliseconds; 0 if the
             server does not report it.
         age_ms: How long ago the run was lost, in milliseconds.
@@ -61,7 +61,7 @@
 
     Attributes:
         content: The request hash.
-        left_ms: Remaining time, in milliseconds.
+        left_ms: Remaining time of the block, in milliseconds.
     """
 
     content: int
--- a/src/hickorylead/crashes/request_hash.py
+++ b/src/hickorylead/crashes/request_hash.py
@@ -9,7 +9,8 @@
     from collections.abc import Iterable
 
 # Size of a hash in bytes. With 1,000 stored hashes, one in 10^16 other requests
-# collides with one of them by chance; 63 bits fit a signed integer.
+# has one of the stored hashes by chance. The last bit is dropped: 63 bits fit a
+# signed integer.
 _HASH_BYTES = 8
 
 
--- a/src/hickorylead/notices/messages.py
+++ b/src/hickorylead/notices/messages.py
@@ -17,7 +17,7 @@
             server does not report it.
         left_ms: Remaining duration of the pause, in milliseconds.
         is_estimated: Whether the gateway estimated the duration because the
-            server named none. Such a pause ends early if the server runs a
+            server named no time. Such a pause ends early if the server runs a
             request that was sent after the refusal.
         age_ms: Time since the refusal, in milliseconds.
     """
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Leave:
-    """A notice of a server, sent with a response, that it is about to end.
+    """A server's notice, sent with a response, that it is about to end.
 
     Attributes:
         server: The server.
@@ -62,7 +62,7 @@
 
     Attributes:
         sender: The gateway.
-        leaves: The servers.
+        leaves: Notices of these servers.
     """
 
     sender: str
--- a/src/hickorylead/notices/notice_reporter.py
+++ b/src/hickorylead/notices/notice_reporter.py
@@ -13,8 +13,8 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# A leaving server is reported again at this interval, in seconds, until
-# coordinators list it as leaving too.
+# Interval at which a gateway reports a leaving server again, in seconds, until
+# coordinators no longer list the server as ready.
 REPORT_PERIOD_S = 0.5
 
 
@@ -45,7 +45,8 @@
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home_coordinator: Its name; empty if the gateway has none.
+            home_coordinator: Name of the gateway's home coordinator; empty if
+                it has none.
             now: Present time.
         """
         if not home_coordinator or not len(self._notices):
--- a/src/hickorylead/notices/notice_store.py
+++ b/src/hickorylead/notices/notice_store.py
@@ -17,24 +17,26 @@
 
     from hickorylead.forwarding import model
 
-# Maximum number of servers whose notices are kept, some 200 bytes each: all
-# replicas may ask for a pause at the same time.
+# Maximum number of servers whose notices are kept: all replicas may ask for a
+# pause at the same time. The notices of a server take some 200 bytes.
 MAX_NOTICES = 1024
-# An incarnation that still exists this long after its last leave notice is no
-# longer treated as leaving, in seconds.
+# How long after its last leave notice an incarnation of a server is treated as
+# leaving, in seconds. If it still exists after that, it is used again.
 LEAVING_RETENTION_S = 900.0
-# After its pause a server is on probation until it has run a request, or for
-# this long, in seconds: it may refuse requests again.
+# How long a server is on probation after its pause, in seconds, unless it runs
+# a request earlier: a server on probation may refuse requests again.
 PROBATION_S = 10.0
-# After a refusal that names no time, the pause of the server is estimated: it
-# lasts for the first of these times, in seconds, and for twice as long after
-# each further refusal in a row, up to the second.
+# After a refusal that names no retry time, the gateway estimates the pause of
+# the server (back-off). The back-off lasts `FIRST_BACKOFF_S` seconds after the
+# first refusal and doubles with each further refusal in a row, up to
+# `MAX_BACKOFF_S` seconds.
 FIRST_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 4.0
-# A shorter pause, in seconds, is not reported: it would end before other
-# gateways could make use of it.
+# Duration of the shortest pause that is reported, in seconds: a shorter pause
+# would end before other gateways could make use of the report.
 MIN_SHARED_PAUSE_S = 0.5
-# Maximum number of pauses in one message; the rest follow in the next one.
+# Maximum number of pauses in one message to the home coordinator; the other
+# pauses follow in the next message.
 MAX_PAUSES_PER_UPDATE = 16
 
 
@@ -46,7 +48,7 @@
         born: Start of the incarnation, in Unix milliseconds; 0 if unknown.
         paused_until: End of the pause that the server asked for.
         leaving_until: Until when the server is treated as leaving.
-        refused_at: Time of the last refusal that named no time.
+        refused_at: Time of the last refusal that named no retry time.
         backoff_s: Estimated pause after that refusal, in seconds.
     """
 
@@ -58,7 +60,7 @@
 
     @property
     def backoff_until(self) -> float:
-        """End of the estimated pause after a refusal that named no time."""
+        """End of the estimated pause after a refusal without a retry time."""
         return self.refused_at + self.backoff_s
 
 
@@ -68,7 +70,8 @@
     def __init__(self) -> None:
         """Makes a store without notices."""
         self._notices: dict[str, _Notice] = {}
-        # Pauses of all gateways, and keys of those that are not reported yet.
+        # Pauses that this gateway recorded or other gateways reported, and keys
+        # of this gateway's pauses that it has not reported yet.
         self._shared = pauses_module.Pauses()
         self._unreported: dict[pauses_module.PauseKey, None] = {}
 
@@ -89,7 +92,7 @@
         Args:
             replica: The replica that responded.
             head: Head of the response.
-            sent_at: When the request was sent that it responds to.
+            sent_at: When the gateway sent the request that got this response.
             now: Present time.
 
         Returns:
@@ -166,8 +169,8 @@
         Args:
             replica: A replica without a pause of its own at this gateway.
             now: Present time.
-            may_probe: Whether a refusal can be afforded, to find out whether
-                the server accepts requests again.
+            may_probe: Whether the gateway can afford a refusal, to find out
+                whether the server accepts requests again.
         """
         notice = self._find(replica)
         until = max(
@@ -223,7 +226,7 @@
     def _find_or_add(
         self, replica: model.Replica, now: float
     ) -> _Notice | None:
-        """Returns an incarnation's notice; None if a later one is known."""
+        """Returns an incarnation's notice; None if it is not the latest."""
         notice = self._notices.get(replica.name)
         if notice is not None and not _is_other_incarnation(notice, replica):
             return notice
--- a/src/hickorylead/notices/pause_relay.py
+++ b/src/hickorylead/notices/pause_relay.py
@@ -1,8 +1,8 @@
 """Relays pauses of servers between gateways and coordinators.
 
 A coordinator forwards the pauses that one gateway reports to all other
-gateways, which then prefer other servers. Without this, each gateway would meet
-a refusal of its own.
+gateways, which then prefer other servers. Without the relay, each gateway would
+first send the server a request that it refuses.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# Pauses are sent at once, but at most one message is sent in this time, in
-# seconds, with at most so many pauses. The rest follow in the next message if
-# they are still in force.
+# A coordinator forwards pauses at once, but sends each node at most one message
+# in `SEND_PERIOD_S` seconds, with at most `MAX_PAUSES_PER_UPDATE` pauses. The
+# other pauses follow in the next message if they are still in force.
 SEND_PERIOD_S = 0.25
 MAX_PAUSES_PER_UPDATE = 12
 
@@ -46,8 +46,8 @@
 
         Args:
             update: The pauses.
-            is_forwarded: Whether another coordinator forwarded them; it has
-                sent them to all coordinators.
+            is_forwarded: Whether another coordinator forwarded the pauses; that
+                coordinator has sent them to all coordinators.
             now: Present time.
         """
         new_keys = [
--- a/src/hickorylead/notices/pauses.py
+++ b/src/hickorylead/notices/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses that servers asked gateways for, merged from reports of nodes."""
+"""Pauses of servers, named or estimated, merged from reports of nodes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Maximum number of stored pauses, about 200 bytes each: all replicas may ask
-# for one at the same time.
+# Maximum number of stored pauses: all replicas may ask for a pause at the same
+# time. A stored pause takes about 200 bytes.
 MAX_PAUSES = 1024
-# A pause that ends later than the known one by no more than this share of its
-# duration is not sent on: a server asks each gateway in turn.
+# A new pause of a server is not sent to other nodes if it ends later than the
+# known pause by no more than this share of its own remaining duration: a server
+# asks each gateway in turn for a pause.
 MIN_CHANGE_SHARE = 0.5
 
-# Server name and whether the pause is estimated. The two kinds are stored
-# separately because a response ends only an estimated pause early.
+# Server name and whether the pause is estimated. Estimated pauses and pauses
+# that a server named are stored separately, because a response ends only an
+# estimated pause early.
 PauseKey: TypeAlias = tuple[str, bool]
 
 
@@ -44,7 +46,7 @@
 
     @property
     def is_ended_early(self) -> bool:
-        """Whether the server ran a request sent no earlier than its refusal."""
+        """Whether the server ran a request sent at or after the refusal."""
         return self.served_sent_at >= self.refused_at
 
 
@@ -86,7 +88,8 @@
             known.is_ended_early
             or now + left_s - known.until > MIN_CHANGE_SHARE * left_s
         )
-        # A request sent before a later refusal must not end the pause early.
+        # The latest refusal counts: a response to a request that was sent
+        # before it must not end the pause early.
         known.refused_at = max(known.refused_at, refused_at)
         if is_significant:
             known.until = now + left_s
--- a/src/hickorylead/ratelimits/allocator.py
+++ b/src/hickorylead/ratelimits/allocator.py
@@ -1,9 +1,10 @@
 """Token buckets from which one coordinator grants permits to gateways.
 
 A server's limit holds for all gateways together, and there are many more
-gateways than requests that it accepts. An equal share for each gateway would be
-a fraction of a request, and one request for each a multiple of the limit.
-So one token bucket a server grants permits to the gateways that can use them.
+gateways than requests that the server accepts. An equal share of the limit for
+each gateway would be a fraction of a request, and one request for each gateway
+a multiple of the limit. So each server has one token bucket, which grants
+permits to the gateways that can use them.
 """
 
 from __future__ import annotations
@@ -12,41 +13,45 @@
 
 from hickorylead.ratelimits import limit_table, messages
 
-# Permits are used within their lease, counted from the request for them, or
-# returned. The lease is the sum, in seconds, of the first of these times and of
-# the time in which the server accepts so many requests, up to the third. The
-# lower the limit, the longer it takes until a gateway with a permit has a
-# request for the server; the number of outstanding permits stays small.
+# A gateway uses a permit within its lease, counted from the request for the
+# permit, or returns it. The lease is `LEASE_S` seconds plus the time in which
+# the server accepts `LEASE_REQUESTS` requests, but at most `MAX_LEASE_S`
+# seconds. The lower the limit, the longer it takes until a gateway with a
+# permit has a request for the server; the number of outstanding permits stays
+# small.
 LEASE_S = 1.0
 LEASE_REQUESTS = 2.0
 MAX_LEASE_S = 3.0
-# A bucket holds what its server accepts in this time, in seconds, and one more
-# request. With the leases, a window of 4 s sees at most what the server accepts
-# in 5.5 s, and three more requests.
+# The capacity of a bucket is the number of requests that its server accepts in
+# this time, in seconds, and one more request. With the leases, the server gets
+# in any 4 s at most as many requests as it accepts in 5.5 s, and three more.
 BURST_S = 0.5
-# If a limit is new to this coordinator but has been known to others for longer
-# than this, another coordinator may have granted permits that are still in use.
-# The bucket then starts in debt by what the server accepts in this time, in
-# seconds: a lost coordinator is replaced as owner after 1.3 s, and the debt
-# covers the permits that it granted within the limit in that time.
+# If this coordinator has no bucket yet for a server that has named a limit for
+# longer than this, in seconds, another coordinator may have granted permits
+# that are still in use. The new bucket then starts in debt by the number of
+# requests that the server accepts in this time. A lost coordinator is replaced
+# as owner after 1.3 s, and the debt covers the permits that the lost
+# coordinator granted within the limit in that time.
 TAKEOVER_S = 1.5
-# Without recent contact with a leader the network may be partitioned, with an
-# owner of the server on either side; each then grants this share of the limit.
+# Share of the limit that a coordinator grants without recent contact with a
+# leader: the network may be partitioned, with an owner of the server on either
+# side.
 PARTITION_SHARE = 0.5
-# Servers with a lower limit are still sent this many requests a second: only
-# their responses show when the overload is over.
+# Requests a second that are sent to a server even if its limit is lower: only
+# the server's responses show when its overload is over.
 MIN_RATE_PER_S = 0.1
-# Maximum number of permits in one grant to a gateway for a server; it requests
-# more afterwards.
+# Maximum number of permits in one grant to a gateway for a server; the gateway
+# requests more permits afterwards.
 MAX_PERMITS = 8
-# Requests that no other server can take count for about this long, in seconds.
-# During this time, requests that have alternatives leave them a share of the
-# bucket's capacity, and a gateway that gets no permit has to wait until after
-# those that were refused before.
+# How long, in seconds, a bucket takes account of requests that no other server
+# can take; they are called needed. During this time, other requests leave
+# `RESERVED_SHARE` of the bucket's capacity to needed requests, and a gateway
+# that gets no permit has to wait until after the gateways that were refused
+# permits for needed requests before.
 NEED_RETENTION_S = 1.0
 RESERVED_SHARE = 0.5
-# Longest time that a reply makes a gateway wait before it requests permits
-# again, in seconds.
+# Maximum time that a reply makes a gateway wait before the gateway requests
+# permits again, in seconds.
 MAX_WAIT_S = 10.0
 
 
@@ -60,7 +65,7 @@
         filled_at: When tokens were last added.
         unmet: Refused permits for requests that no other server can take;
             decays with time.
-        needed_at: When such a request last wanted a permit.
+        needed_at: When permits for such a request were last requested.
     """
 
     born: int
@@ -154,7 +159,7 @@
     """Returns how long a permit is valid, in seconds.
 
     Args:
-        per_s: Requests a second that its server accepts.
+        per_s: Requests a second that the permit's server accepts.
     """
     usage_s = LEASE_REQUESTS / max(per_s, MIN_RATE_PER_S)
     return min(MAX_LEASE_S, LEASE_S + usage_s)
--- a/src/hickorylead/ratelimits/limit_table.py
+++ b/src/hickorylead/ratelimits/limit_table.py
@@ -1,8 +1,8 @@
 """Rate limits of servers, merged from all nodes.
 
 The latest report of a server counts, whichever gateway received it. Reports can
-be merged in any order and any number of times, so nodes that restarted or were
-partitioned are simply sent all limits again.
+be merged in any order and any number of times, so a node that restarted or was
+partitioned can simply get all limits again.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A limit that is not renewed within this time is dropped, in seconds. A server
-# that names a limit still gets requests, and each response renews it; a server
-# that got no requests for that long is no longer overloaded.
+# Time after which a limit is dropped if no response renews it, in seconds. A
+# server that names a limit still gets requests, and each response renews the
+# limit; a server that got no requests for that long is no longer overloaded.
 RETENTION_S = 60.0
 # Maximum number of limits that are kept, some 200 bytes each: all replicas may
-# name one.
+# name a limit.
 MAX_LIMITS = 1024
-# A value that changes by no more than this share of it is not sent on to other
-# nodes.
+# A limit that changes by no more than this share of its previous value is not
+# sent to other nodes.
 MIN_CHANGE_SHARE = 0.2
 
 
@@ -34,10 +34,11 @@
 
     Attributes:
         born: Start of the incarnation; see `messages.RateLimit`.
-        per_s: Requests a second from all gateways together.
+        per_s: Requests a second that the server accepts from all gateways
+            together.
         is_named: Whether the server named a limit in its latest report.
-        reported_at: When it sent that report.
-        named_at: Since when it is known to have named a limit without
+        reported_at: When the server sent that report.
+        named_at: Since when the server is known to have named a limit without
             interruption.
     """
 
@@ -74,15 +75,16 @@
         )
         known = self._limits.get(limit.server)
         if known is None or reported.born > known.born:
-            # All nodes assume that a new incarnation names no limit.
+            # All nodes assume that a new incarnation names no limit, so a
+            # report without a limit is not stored.
             return reported.is_named and self._add(limit.server, reported, now)
         if reported.born < known.born:
             # The limit of a previous incarnation does not apply to the present
             # one.
             return False
         if known.is_named and reported.is_named:
-            # Even if the report is late, both belong to the same period in
-            # which the server names a limit.
+            # Even if this report is late, it and the known report belong to the
+            # same period in which the server names a limit.
             known.named_at = min(known.named_at, reported.named_at)
         if reported.reported_at <= known.reported_at:
             return False
@@ -95,7 +97,7 @@
         return is_significant
 
     def find(self, server: str, born: int, now: float) -> KnownLimit | None:
-        """Returns the limit of a server incarnation; None if it names none."""
+        """Returns the limit of a server incarnation; None without a limit."""
         known = self._limits.get(server)
         if (
             known is None
--- a/src/hickorylead/ratelimits/messages.py
+++ b/src/hickorylead/ratelimits/messages.py
@@ -15,7 +15,8 @@
         server: The server.
         born: Start of the server's incarnation, in Unix milliseconds; 0 if the
             server does not report it.
-        per_s: Requests a second that it accepts from all gateways together.
+        per_s: Requests a second that the server accepts from all gateways
+            together.
         is_named: Whether the server names a limit; False once it has stopped.
         age_ms: Time since this report, in milliseconds.
         named_ms: How long the server is known to have named a limit without
@@ -49,7 +50,7 @@
 
     Attributes:
         limit: The limit, as the gateway last received it.
-        wanted: Number of permits that it could use now.
+        wanted: Number of permits that the gateway could use now.
         is_needed: Whether a request that no other server can take waits for a
             permit.
         returned: Number of earlier permits that expired unused.
@@ -65,12 +66,13 @@
 class PermitRequest:
     """A gateway's request for permits.
 
-    Its home coordinator forwards the parts for servers of other owners.
+    The gateway's home coordinator forwards the parts for servers that other
+    coordinators own.
 
     Attributes:
         gateway: The gateway.
         number: The gateway's number of the request, repeated in the reply.
-        asks: One for each server.
+        asks: The requested permits, one item for each server.
     """
 
     gateway: str
@@ -84,12 +86,13 @@
 
     Attributes:
         server: The server.
-        born: Start of the incarnation that they are for; see `RateLimit`.
+        born: Start of the server's incarnation that the permits are for; see
+            `RateLimit`.
         count: Number of permits.
-        lease_ms: How long they are valid, counted from the request for them, in
-            milliseconds.
-        wait_ms: When to request permits again if there were too few, in
-            milliseconds.
+        lease_ms: How long the permits are valid, counted from the request for
+            them, in milliseconds.
+        wait_ms: How long the gateway waits before it requests permits again if
+            there were too few, in milliseconds.
     """
 
     server: str
@@ -106,7 +109,7 @@
     Attributes:
         gateway: The gateway that requested them.
         number: The gateway's number of the request.
-        permits: One for each server.
+        permits: The granted permits, one item for each server.
     """
 
     gateway: str
--- a/src/hickorylead/ratelimits/permit_broker.py
+++ b/src/hickorylead/ratelimits/permit_broker.py
@@ -27,8 +27,8 @@
 
 Sent: TypeAlias = tuple[str, messages.Message]
 
-# All limits are sent again at this interval, in seconds, for nodes that missed
-# some.
+# Interval at which all limits are sent again, in seconds, for nodes that missed
+# some limits.
 FULL_SYNC_PERIOD_S = 10.0
 
 
@@ -64,7 +64,8 @@
     ) -> list[Sent]:
         """Merges limits; returns the messages to send to other nodes.
 
-        A limit that another coordinator sent has been sent to all coordinators.
+        A limit that another coordinator sent is not forwarded to coordinators:
+        that coordinator has sent it to all of them.
         """
         changed = [x.server for x in update.limits if self._table.merge(x, now)]
         if not changed:
@@ -85,12 +86,12 @@
         has_recent_leader: bool,
         now: float,
     ) -> list[Sent]:
-        """Grants the permits of a request, or forwards it to the owners.
+        """Grants requested permits, or forwards the request to server owners.
 
         Args:
             request: The request.
-            sender: Node that sent it here: the gateway, or its home
-                coordinator.
+            sender: Node that sent the request to this coordinator: the gateway,
+                or its home coordinator.
             has_recent_leader: Whether this coordinator had recent contact with
                 a leader.
             now: Present time.
@@ -101,8 +102,9 @@
         sent = self.merge_limits(messages.LimitNews(sender, limits), now)
         permit_requests = collections.defaultdict(list)
         for permit_request in request.asks:
-            # A forwarded request is decided here, whichever coordinator owns
-            # the server by now: otherwise it could be forwarded in a circle.
+            # This coordinator decides a forwarded request even if another
+            # coordinator owns the server by now: otherwise the request could be
+            # forwarded in a circle.
             is_forwarded = sender != request.gateway
             node = (
                 self._node
@@ -131,8 +133,8 @@
 
         The gateway has started, or has changed its home coordinator.
 
-        It would otherwise send requests to servers without permits until each
-        server reports its limit to it.
+        The gateway would otherwise send requests without permits to each server
+        until that server reports its limit to it.
         """
         return self._make_full_updates([gateway], now)
 
@@ -159,9 +161,9 @@
     def _find_owner(self, permit_request: messages.Ask, now: float) -> str:
         """Returns the coordinator that grants the permits of a server.
 
-        This is one of the server's own zone while any is alive: when that zone
-        is partitioned from the others, the gateways that reach the server also
-        reach this coordinator.
+        The owner is a coordinator of the server's own zone while any is alive:
+        when that zone is partitioned from the others, the gateways that reach
+        the server also reach this coordinator.
         """
         server = permit_request.limit.server
         known = self._registry.instances.get(server)
@@ -177,8 +179,8 @@
             # The server has stopped naming a limit, the known limit belongs to
             # another incarnation, or the last report is older than
             # `limit_table.RETENTION_S`. Updates of limits are sent to the
-            # gateway separately: until then all the permits that it wants are
-            # granted.
+            # gateway separately. Until it has the update, this coordinator
+            # grants all permits that the gateway wants.
             lease_ms = int(1000 * allocator.LEASE_S)
             return messages.Permits(
                 limit.server, limit.born, permit_request.wanted, lease_ms
--- a/src/hickorylead/ratelimits/permit_pool.py
+++ b/src/hickorylead/ratelimits/permit_pool.py
@@ -1,8 +1,8 @@
 """Rate limits and permits at one gateway.
 
-A server that names a rate limit is sent a request only with a permit. The
-gateway requests permits from its home coordinator when requests could use them;
-they are valid for a short time.
+The gateway sends a request to a server that names a rate limit only with a
+permit. The gateway requests permits from its home coordinator when requests
+could use them. Permits are valid for a short time.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
     from hickorylead.forwarding import model
 
-# Permits that requests could use, but do not depend on, are requested at this
-# interval, in seconds.
+# Interval at which the gateway requests permits for requests that another
+# server could take as well, in seconds.
 REQUEST_PERIOD_S = 0.5
-# A request for permits without a reply is treated as lost after this, in
+# Time after which a request for permits without a reply is treated as lost, in
 # seconds: a round trip through two coordinators takes some milliseconds.
 REPLY_TIMEOUT_S = 0.25
-# Without a reply to any request for this long, in seconds, the gateway uses a
-# local share of each limit: its home coordinator and the next one are lost, or
-# the gateway is partitioned from them, and servers that it reaches would stay
-# idle. Another home coordinator is found in 1.2 s.
+# Time without a reply to any request for permits after which the gateway uses a
+# local share of each limit, in seconds. Its home coordinator and the next home
+# coordinator are then lost, or the gateway is partitioned from them, and
+# servers that the gateway reaches would stay idle. The gateway finds another
+# home coordinator in 1.2 s.
 LOCAL_SHARE_AFTER_S = 1.5
-# Limits that servers named are reported to the home coordinator again at this
-# interval, in seconds.
+# Interval at which the gateway reports the limits in responses of servers to
+# its home coordinator again, in seconds.
 REPORT_PERIOD_S = 5.0
 
 
@@ -46,7 +47,7 @@
         expiries: When each permit expires, the earliest first.
         wanted: Requests that could have used a permit since permits were last
             requested.
-        is_needed: Whether one of them can be sent to no other server.
+        is_needed: Whether one of these requests can be sent to no other server.
         returned: Permits that expired unused and were not reported yet.
         requested_at: When permits were requested, while no reply has arrived.
         denied_until: When permits may be available again.
@@ -73,7 +74,8 @@
 
         Args:
             node: Name of the gateway.
-            first: Number of its first request, different in each incarnation.
+            first: Number of the pool's first request for permits, different in
+                each incarnation of the gateway.
             rng: Randomizes the initial local tokens, so that gateways without
                 coordinators do not all send at once.
         """
@@ -82,7 +84,7 @@
         self._numbers = itertools.count(first)
         self.table = limit_table.LimitTable()
         self._accounts: dict[str, _Account] = {}
-        # Send times of the requests without a reply, by number.
+        # Send times of recent requests for permits, by request number.
         self._request_times: dict[int, float] = {}
         self._no_reply_since: float | None = None
         self._last_request_at = -1e9
@@ -137,12 +139,12 @@
     def get_limit_per_s(
         self, replica: model.Replica, now: float
     ) -> float | None:
-        """Returns the requests a second of a replica; None if unlimited."""
+        """Returns a replica's limit in requests a second; None without one."""
         known = self.table.find(replica.name, replica.born, now)
         return known.per_s if known else None
 
     def may_send(self, replica: model.Replica, now: float) -> bool:
-        """Returns whether a replica may be sent a request now."""
+        """Returns whether the gateway may send a replica a request now."""
         if not len(self.table):
             return True
         known = self.table.find(replica.name, replica.born, now)
@@ -176,8 +178,8 @@
         """
         account = self._find(replica.name)
         if is_needed:
-            # This is called repeatedly for a waiting request, which needs one
-            # permit.
+            # This method is called repeatedly for a waiting request, which
+            # needs only one permit.
             account.wanted = max(1, account.wanted)
             account.is_needed = True
         else:
@@ -187,7 +189,7 @@
     def get_wait_remaining_s(self, replica: model.Replica, now: float) -> float:
         """Returns how long until a permit may be available, in seconds.
 
-        0 if unknown.
+        Returns 0 if the time is unknown.
         """
         return max(0.0, self._find(replica.name).denied_until - now)
 
@@ -199,7 +201,8 @@
         """Returns the messages that are due to the home coordinator.
 
         Args:
-            home_coordinator: Its name; empty if the gateway has none.
+            home_coordinator: Name of the gateway's home coordinator; empty if
+                it has none.
             now: Present time.
         """
         if not len(self.table):
@@ -211,8 +214,8 @@
             return []
         if self._lacks_home_coordinator:
             # The gateway stops using its local shares: otherwise all gateways
-            # would use theirs in addition to the permits of the coordinators
-            # that are back.
+            # would use their local shares in addition to the permits of the
+            # coordinators that are back.
             self._lacks_home_coordinator = False
             self._no_reply_since = None
         sent: list[tuple[str, messages.Message]] = []
@@ -226,9 +229,9 @@
         permit_requests = self._collect_requests(now)
         if permit_requests:
             if now - self._last_request_at > LOCAL_SHARE_AFTER_S:
-                # Earlier requests without a reply say nothing about the
-                # present: a coordinator may have been lost just then and been
-                # replaced since.
+                # An earlier request for permits without a reply says nothing
+                # about the present: a coordinator may have been lost at that
+                # moment and replaced since.
                 self._no_reply_since = None
             self._last_request_at = now
             self._start_reply_timer(now)
@@ -242,8 +245,8 @@
 
     def handle_reply(self, reply: messages.PermitReply, now: float) -> bool:
         """Adds the permits of a reply; returns whether it was expected."""
-        # The lease counts from the request: a delayed reply must not bring
-        # permits that were granted long ago.
+        # The lease counts from the request for permits: a delayed reply must
+        # not bring permits that were granted long ago.
         requested_at = self._request_times.get(reply.number)
         if requested_at is None:
             return False
@@ -343,8 +346,8 @@
             account.local_updated_at = None
             return False
         if account.local_updated_at is None:
-            # Gateways that lose their coordinators do so at the same time. With
-            # equal initial tokens, all would send at the same moment.
+            # Gateways lose their coordinators at the same time. With equal
+            # initial tokens, all gateways would send at the same moment.
             account.local_tokens = self._rng.random()
             account.local_updated_at = since + LOCAL_SHARE_AFTER_S
         per_s = max(known.per_s, allocator.MIN_RATE_PER_S) / self._gateway_count
--- a/tests/crashes/crash_guard.feature
+++ b/tests/crashes/crash_guard.feature
@@ -1,9 +1,9 @@
 Feature: Runs that a gateway reports as lost, and requests that it blocks
 
   Scenario Outline: A run without a complete response is reported
-    This holds for each kind of request, and also if the run ended because its
-    caller disconnected or its time ran out while its replica sent nothing: a
-    server that loses power closes no connection.
+    The gateway reports the run for each kind of request, and also if the run
+    ended because the caller disconnected, or the request's time ran out, while
+    the replica sent nothing: a server that loses power closes no connection.
     Given a gateway with 3 replicas of each kind
     When <event>
     Then the gateway reports 1 lost run to its home coordinator
@@ -32,33 +32,34 @@
   Scenario: A lost run is reported twice, and again to another home coordinator
     Given a gateway with 3 replicas of each kind
     When a call that may run once is reset
-    Then it is reported to its home coordinator at once and again 1.5 seconds later, and not after that
-    And it is reported to another home coordinator at once
+    Then the gateway reports the lost run to its home coordinator at once and again 1.5 seconds later, and not after that
+    And the gateway reports the lost run to another home coordinator at once
 
   Scenario: Submissions of a request that lost a run are sent one at a time
-    In parallel, each could crash a server before the first loss is recorded.
+    If they were sent in parallel, each submission could crash a server before
+    the first loss is recorded.
     Given a gateway with 3 replicas of each kind
     When a call that may run once is reset
-    Then 1 of 2 more submissions of it is sent at once
+    Then 1 of 2 more submissions of that call is sent at once
 
-  Scenario: A response after a lost run allows parallel submissions again
+  Scenario: A complete response after a lost run allows parallel submissions again
     Given a gateway with 3 replicas of each kind
     When an idempotent call is reset and then completed
-    Then 2 of 2 more submissions of it are sent at once
+    Then 2 of 2 more submissions of that call are sent at once
 
-  Scenario: The records of a gateway are bounded
+  Scenario: The number of completed requests and lost runs that a gateway keeps is bounded
     Given a gateway with 3 replicas of each kind
     When 5000 requests are completed and 5000 runs are lost
-    Then it keeps 2048 completed requests and 512 lost runs, in less than 1 MB
+    Then the gateway keeps 2048 completed requests and 512 lost runs, in less than 1 MB
     And 31 seconds later no lost run is kept
 
   Scenario: A request that is blocked while it runs is not retried
-    It may have run, so its caller must not get a refusal as not run.
+    The request may have run, so its caller must not get a refusal as not run.
     Given a gateway with 3 replicas of each kind
     When an idempotent call runs, is blocked and then reset
     Then it was sent once and ends with status 502
 
-  Scenario: A stream that is blocked after its first events is aborted
+  Scenario: A blocked stream that breaks after its first events is aborted
     Given a gateway with 3 replicas of each kind
     When a stream has 3 events, is blocked and then reset
     Then the response is aborted and does not look complete
@@ -71,9 +72,9 @@
   Scenario: A block expires at a gateway that receives no more updates
     Given a gateway with 3 replicas of each kind
     When a call is blocked for 20 seconds
-    Then it is refused until then, and sent after it
+    Then that call is refused while it is blocked, and sent after that
 
-  Scenario: Another caller's request, or one with another body, is not blocked
+  Scenario: A block does not apply to a request with another path or another body
     Given a gateway with 3 replicas of each kind
     When a call is blocked for 20 seconds
     Then the same body on another path, and another body, are sent
--- a/tests/limits/permits.feature
+++ b/tests/limits/permits.feature
@@ -1,4 +1,4 @@
-Feature: The limits and permits of one gateway
+Feature: The limits that one gateway knows, and its permits
 
   Scenario: A replica that named a limit gets no request without a permit
     Given a gateway with 1 replica of each kind
@@ -6,15 +6,15 @@
     And a call arrives that may run once
     Then the call is not sent
     And the gateway requests 1 permit that a request needs
-    And with the permit the call is sent at once
+    And the call is sent at once when the permit arrives
 
   Scenario: A call for which there is no permit is refused at once as not run
-    The reply states when there may be one. The caller may use another server
-    until then.
+    The coordinator's reply states when there may be a permit. The caller may
+    use another server until then.
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 2 a second
     And a call arrives that may run once
-    And the reply has no permit for 3 seconds
+    And the reply states that there is no permit for 3 seconds
     Then the call is refused as not run, to be retried in about 3 seconds
 
   Scenario Outline: Only a replica's own response to a request changes its limit
@@ -34,9 +34,10 @@
       | 61 seconds pass                               | over    |
       | 59 seconds pass                               | 2       |
 
-  Scenario Outline: The permits of a reply count only while they can be valid
-    A delayed reply would bring permits in addition to those that were granted
-    to others in the meantime. The lease starts with the request for permits.
+  Scenario Outline: The permits in a reply are valid only during their lease
+    A delayed reply would bring permits in addition to the permits that were
+    granted to other gateways in the meantime. The lease starts with the request
+    for permits.
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 2 a second
     And a call arrives that may run once
@@ -49,20 +50,20 @@
       | 2.5 seconds later              | 0    |
       | for a previous start of it     | 0    |
 
-  Scenario: Permits that expire unused are returned
+  Scenario: A gateway returns permits that expired unused
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 2 a second
     And a call arrives that may run once
     And a reply with 3 permits of 2 seconds arrives 0.01 seconds later
     And 2.1 seconds pass
     And a call arrives that may run once
-    Then its next request for permits returns 2
+    Then the gateway's next request for permits returns 2 permits
 
-  Scenario: One old request for permits without a reply has no effect
-    A coordinator was lost when the gateway sent it, and there were no requests
-    since. If the gateway then assumed that no coordinator runs, it would use
-    its saved local share, and all gateways that requested permits at that
-    moment would do so at once.
+  Scenario: A gateway does not use its local share because of one old request for permits without a reply
+    A coordinator was lost when the gateway sent the request for permits, and
+    there were no requests since. If the gateway now assumed that no coordinator
+    runs, it would use its saved local share, and all gateways that requested
+    permits at that moment would do the same at once.
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 2 a second
     And a call arrives that may run once
@@ -71,20 +72,21 @@
     Then the call is not sent
     And the gateway requests 1 permit that a request needs
 
-  Scenario: One of nine gateways that gets no replies sends its own share
+  Scenario: A gateway without replies from coordinators uses an equal share of the limit
+    The gateway assumes that there are nine gateways.
     Given a gateway with 1 replica of each kind
     When the plain replica names a limit of 4.5 a second
     And calls arrive for 6 seconds and no coordinator replies
-    Then it sends 2 to 3 of them, none before 1.5 seconds have passed
+    Then the gateway sends 2 to 3 of these calls, none before 1.5 seconds have passed
 
-  Scenario: Reports of limits merge in any order
-    Reports arrive late and twice, and from nodes with older state. The last
-    report of a server's present incarnation counts.
-    Given two limits, their end, a new incarnation's limit, and a late old one
-    Then in any order the new incarnation's limit is known, and no other
+  Scenario: Reports of a server's limit can be merged in any order
+    Reports arrive late and twice, and from nodes with older state. The latest
+    report of the server's present incarnation counts.
+    Given two limits, their end, the limit of a new incarnation, and a late report of the old incarnation
+    Then in any order only the limit of the new incarnation is known
 
-  Scenario: The number of limits is bounded
+  Scenario: The number of limits that a gateway stores is bounded
     Given a gateway with 1 replica of each kind
     When 5000 servers name a limit
-    Then it keeps 1024 of them, in less than 1 MB
-    And 61 seconds later it keeps none
+    Then the gateway keeps 1024 limits, in less than 1 MB
+    And 61 seconds later the gateway keeps no limit
--- a/tests/steps/allocator_steps.py
+++ b/tests/steps/allocator_steps.py
@@ -54,16 +54,16 @@
 
 
 @when(
-    "gateways request all they can get from one coordinator for {seconds:g} "
-    "seconds"
+    "gateways request all permits they can get from one coordinator for "
+    "{seconds:g} seconds"
 )
 def _(context, seconds):
     request_all(context, [context.coordinator], seconds)
 
 
 @when(
-    "another one takes over, while the first gets requests for {seconds:g} "
-    "seconds more"
+    "another coordinator takes over, while the first coordinator gets requests "
+    "for {seconds:g} seconds more"
 )
 def _(context, seconds):
     second = GrantingCoordinator(context.known)
@@ -72,8 +72,8 @@
 
 
 @when(
-    "gateways request from two coordinators without a leader for {seconds:g} "
-    "seconds"
+    "gateways request permits from two coordinators without a leader for "
+    "{seconds:g} seconds"
 )
 def _(context, seconds):
     coordinators = [
@@ -84,8 +84,8 @@
 
 
 @when(
-    "gateways request all they can get, and one needs one every "
-    "{interval_s:g} seconds"
+    "gateways request all permits they can get, and one gateway needs a permit "
+    "every {interval_s:g} seconds"
 )
 def _(context, interval_s):
     context.needed_count = context.needed_granted = context.others_granted = 0
@@ -110,14 +110,15 @@
 
 
 @then(
-    "no window of {window_s:g} seconds has more requests than the limit allows"
+    "in any {window_s:g} seconds gateways can send no more requests than the "
+    "limit allows"
 )
 def _(context, window_s):
     assert window_s == limit_schedules.WINDOW_S
     allowed = limit_schedules.get_allowed_requests(context.limit)
     for start, _ in context.granted:
-        # Permits granted before the window may be used in it while their lease
-        # lasts, and those granted in it at once.
+        # A permit granted before the window may be used in the window while its
+        # lease lasts; a permit granted in the window may be used at once.
         usable = sum(
             at < start + window_s and at + lease_s > start
             for at, lease_s in context.granted
@@ -125,7 +126,7 @@
         assert usable <= allowed, (usable, allowed, start)
 
 
-@then("all that the server accepts is granted")
+@then("permits are granted for all requests that the server accepts")
 def _(context):
     accepted = context.limit * (context.now - 100.0)
     assert len(context.granted) >= accepted - 1, (
@@ -139,7 +140,10 @@
     assert len(context.granted) == count, context.granted
 
 
-@then("over 20 seconds that one gets all it needs, and the others the rest")
+@then(
+    "over 20 seconds that gateway gets all permits that it needs, and the "
+    "others get the rest"
+)
 def _(context):
     assert context.needed_granted == context.needed_count, (
         context.needed_granted,
@@ -149,7 +153,7 @@
     assert context.others_granted >= 0.9 * rest, (context.others_granted, rest)
 
 
-@then("another one gets {count:d} more at the same moment")
+@then("another gateway gets {count:d} more permits at the same moment")
 def _(context, count):
     found = context.coordinator.request_permits(8, context.now)
     assert found.count == count, found
--- a/tests/steps/crash_fault_steps.py
+++ b/tests/steps/crash_fault_steps.py
@@ -10,7 +10,8 @@
 def crash_servers(traffic, count, gateways):
     """Crashes a number of servers with a request sent to some gateways."""
     before = len(traffic.list_crash_times(crash_steps.CRASHING_BODY))
-    # Otherwise each submission is retried and crashes two servers.
+    # If callers did not disconnect early, each submission would be retried and
+    # crash two servers.
     traffic.disconnects_early = True
     # Only one gateway sends a suspected request, so it is submitted to all
     # gateways until enough servers have crashed.
@@ -55,7 +56,7 @@
     simulation.start_gateway(context.node)
 
 
-@then("it refuses the request as soon as it has a configuration")
+@then("that gateway refuses the request as soon as it has a configuration")
 def _(context):
     traffic = context.traffic
     role = traffic.simulation.gateways[context.node]
--- a/tests/steps/crash_guard_steps.py
+++ b/tests/steps/crash_guard_steps.py
@@ -84,8 +84,8 @@
     assert context.harness.list_effects(name, events.Refuse)
 
 
-@then("{sent:d} of {count:d} more submissions of it is sent at once")
-@then("{sent:d} of {count:d} more submissions of it are sent at once")
+@then("{sent:d} of {count:d} more submissions of that call is sent at once")
+@then("{sent:d} of {count:d} more submissions of that call are sent at once")
 def _(context, sent, count):
     harness = context.harness
     route = harness.list_attempts()[-1].request.route.name
@@ -150,8 +150,8 @@
 
 
 @then(
-    "it is reported to its home coordinator at once and again 1.5 seconds "
-    "later, and not after that"
+    "the gateway reports the lost run to its home coordinator at once and "
+    "again 1.5 seconds later, and not after that"
 )
 def _(context):
     harness = context.harness
@@ -164,7 +164,7 @@
     assert list_reported(harness) == []
 
 
-@then("it is reported to another home coordinator at once")
+@then("the gateway reports the lost run to another home coordinator at once")
 def _(context):
     assert len(list_reported(context.harness, "z2/core1/coordinator")) == 1
     assert list_reported(context.harness, "") == []
@@ -184,16 +184,16 @@
 
 
 @then(
-    "it keeps {completed:d} completed requests and {lost:d} lost runs,"
-    " in less than 1 MB"
+    "the gateway keeps {completed:d} completed requests and {lost:d} lost "
+    "runs, in less than 1 MB"
 )
 def _(context, completed, lost):
     harness = context.harness
     used, _ = tracemalloc.get_traced_memory()
     assert used < 1e6, used
     assert len(list_reported(harness)) == lost
-    # Losses of the latest completed requests are not reported; those of
-    # evicted ones are.
+    # Lost runs of completed requests that the gateway keeps are not reported;
+    # lost runs of evicted completed requests are.
     reported = []
     for number in range(5000):
         harness.guard.record_lost_run(number, "i", 0, harness.now)
@@ -249,7 +249,7 @@
     block(context.harness, seconds)
 
 
-@then("it is refused until then, and sent after it")
+@then("that call is refused while it is blocked, and sent after that")
 def _(context):
     harness = context.harness
     harness.advance(19.9)
--- a/tests/steps/crash_history_steps.py
+++ b/tests/steps/crash_history_steps.py
@@ -74,7 +74,7 @@
             context.history.merge(crash, context.now)
 
 
-@when("some gateway gets a complete response to it")
+@when("some gateway gets a complete response to the request")
 def _(context):
     context.reported = context.history.list_crashes(context.now)
     assert context.history.merge_clearance(
@@ -90,17 +90,17 @@
         merge_lost_run(context, 1000 + number, f"s{number}", age_s=0.0)
 
 
-@then("it is not blocked")
+@then("the request is not blocked")
 def _(context):
     assert REQUEST_HASH not in context.history.find_blocked()
 
 
-@then("it is blocked")
+@then("the request is blocked")
 def _(context):
     assert REQUEST_HASH in context.history.find_blocked()
 
 
-@then("it is blocked for {seconds:g} seconds")
+@then("the request is blocked for {seconds:g} seconds")
 def _(context, seconds):
     until = context.history.find_blocked()[REQUEST_HASH]
     assert until - context.now == seconds, until - context.now
@@ -116,7 +116,7 @@
     assert context.history.digest == 0
 
 
-@then("the previous reports of it have no effect")
+@then("the previous reports of its lost runs have no effect")
 def _(context):
     assert len(context.reported) == 3
     for crash in context.reported:
@@ -152,7 +152,7 @@
     context.histories[0].merge_clearance(messages.Clearance(3, 500), NOW)
 
 
-@when("they send each other everything")
+@when("the histories send each other everything")
 def _(context):
     for subject in context.histories:
         for other in context.histories:
@@ -162,7 +162,10 @@
                 other.merge_clearance(clearance, NOW)
 
 
-@then("their hashes are equal, and so are the requests they block")
+@then(
+    "the digests of the histories are equal, and so are the requests that they "
+    "block"
+)
 def _(context):
     assert len({subject.digest for subject in context.histories}) == 1
     first, *others = [subject.find_blocked() for subject in context.histories]
--- a/tests/steps/crash_steps.py
+++ b/tests/steps/crash_steps.py
@@ -8,7 +8,7 @@
 from hickorylead.forwarding import refusals
 
 CRASHING_BODY = b"ends its replica"
-# Sent repeatedly by many callers.
+# Body of a request that many callers send repeatedly.
 COMMON_BODY = b"asked by many"
 BLOCKED = refusals.BLOCKED_REASON
 # Time between the requests of other callers, in seconds.
@@ -74,7 +74,10 @@
     context.traffic.run(2.0)
 
 
-@then("from {late_s:g} second after the third crash it reaches no replica")
+@then(
+    "from {late_s:g} second after the third crash that request reaches no "
+    "replica"
+)
 def _(context, late_s):
     traffic = context.traffic
     context.third_crash_at = traffic.list_crash_times(CRASHING_BODY)[2]
@@ -101,7 +104,7 @@
 
 @then("nine in ten requests of other callers get a response after that")
 def _(context):
-    # By then replacements of all lost groups serve.
+    # 5 s after the third crash, replacements of all lost groups serve.
     others = list_other_submissions(
         context.traffic, context.third_crash_at + 5.0
     )
@@ -147,13 +150,13 @@
     traffic.run(3.0)
 
 
-@then("at most {limit:d} servers crashed while running it")
+@then("at most {limit:d} servers crashed while running that request")
 def _(context, limit):
     lost = context.traffic.list_crash_times(CRASHING_BODY)
     assert len(lost) <= limit, lost
 
 
-# Requests that did not crash the servers that they lost.
+# Requests that lost servers without crashing them.
 
 
 @when("a request loses 2 servers that end for another reason")
@@ -231,7 +234,7 @@
     simulation = context.traffic.simulation
     for role in simulation.coordinators.values():
         assert role.crashes.count_blocked() == 0
-        # The lost runs were reported to them.
+        # The lost runs were reported to the coordinators.
         assert role.crashes.digest != 0
     assert not any(
         g.count_blocked_requests() for g in simulation.gateways.values()
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -8,7 +8,7 @@
 from steps import crash_steps
 from support import fleet_simulation, limit_schedules, traffic_simulation
 
-# How long all coordinators are stopped, in seconds.
+# How long all coordinators are stopped in a fault scenario, in seconds.
 FAULT_S = 20.0
 
 
@@ -85,7 +85,7 @@
     send(context.traffic, seconds)
 
 
-@when("it names none any more for {seconds:g} seconds")
+@when("that head stops naming a limit for {seconds:g} seconds")
 def _(context, seconds):
     context.limited_head = next(iter(context.traffic.limits))
     context.traffic.limits.clear()
@@ -104,7 +104,7 @@
     send(traffic, 6.0, seed=7)
 
 
-@when("a gateway restarts with the limits in force")
+@when("a gateway restarts while the limits are in force")
 def _(context):
     simulation = context.traffic.simulation
     node = sorted(simulation.gateways)[0]
@@ -126,7 +126,10 @@
         traffic.simulation.start(node)
 
 
-@when("each gateway gets one request, {seconds:g} seconds after they are back")
+@when(
+    "each gateway gets one request, {seconds:g} seconds after the coordinators "
+    "are back"
+)
 def _(context, seconds):
     traffic = context.traffic
     traffic.run(seconds)
@@ -140,7 +143,7 @@
     traffic.run(1.0)
 
 
-@then("none gets more than {most:d} of these requests")
+@then("no head gets more than {most:d} of these requests")
 def _(context, most):
     for head in context.traffic.limits:
         arrivals = context.traffic.list_arrivals(head)
@@ -239,8 +242,8 @@
 
 
 @then(
-    "from {late_s:g} seconds after they name it neither gets over {most:d} "
-    "requests in {window_s:g} seconds"
+    "from {late_s:g} seconds after these heads name the limit neither gets "
+    "over {most:d} requests in {window_s:g} seconds"
 )
 def _(context, late_s, most, window_s):
     assert window_s == limit_schedules.WINDOW_S
@@ -267,8 +270,8 @@
 
 
 @then(
-    "it gets no more than it accepts from {late_s:g} seconds after the limit "
-    "is named"
+    "that head gets no more than it accepts from {late_s:g} seconds after it "
+    "names the limit"
 )
 def _(context, late_s):
     context.execute_steps(
@@ -277,7 +280,7 @@
     )
 
 
-@then("it gets at least half of what it accepts")
+@then("that head gets at least half of what it accepts")
 def _(context):
     (head, limit), *_ = context.traffic.limits.items()
     seconds = (
@@ -289,7 +292,7 @@
     assert found >= 0.5 * limit * seconds, (found, limit * seconds)
 
 
-@then("together they get nine tenths of what they accept")
+@then("together the heads get nine tenths of what they accept")
 def _(context):
     limits = context.traffic.limits
     seconds = (
@@ -309,7 +312,9 @@
     assert not refused, refused
 
 
-@then("the rest is refused as not run within half of its objective")
+@then(
+    "the other requests are refused as not run within half of their objective"
+)
 def _(context):
     refused = [
         s for s in list_new_submissions(context) if s.status not in (0, 200)
@@ -337,8 +342,8 @@
 
 
 @then(
-    "from {late_s:g} seconds after it stops naming the limit it gets over "
-    "{per_s:g} requests a second"
+    "from {late_s:g} seconds after that head stops naming the limit it gets "
+    "over {per_s:g} requests a second"
 )
 def _(context, late_s, per_s):
     since = context.limits_ended_at + late_s
@@ -350,7 +355,7 @@
     assert found > per_s * seconds, (found, seconds)
 
 
-@then("each gets a third of what it accepts while no coordinator runs")
+@then("each head gets a third of what it accepts while no coordinator runs")
 def _(context):
     for head, limit in context.traffic.limits.items():
         found = sum(
@@ -360,13 +365,13 @@
         assert found >= limit * FAULT_S / 3, (head, found, limit * FAULT_S)
 
 
-@then("it has the limits as soon as it has the servers")
+@then("that gateway has the limits as soon as it has the servers")
 def _(context):
     limits = context.traffic.limits
     assert context.started.count_rate_limited_replicas() == len(limits)
 
 
-@then("nine in ten of them within {limit_s:g} seconds")
+@then("nine in ten requests reach a replica within {limit_s:g} seconds")
 def _(context, limit_s):
     delays = [
         submission.sent[0][0] - context.traffic.submitted_at[submission.name]
--- a/tests/steps/notice_steps.py
+++ b/tests/steps/notice_steps.py
@@ -35,8 +35,8 @@
 
 
 @then(
-    "no gateway sends over {most:d} requests during a pause that was requested "
-    "of it"
+    "no gateway sends a server over {most:d} requests during a pause requested "
+    "of that gateway"
 )
 def _(context, most):
     assert most == notice_schedules.MAX_IN_PAUSE
@@ -69,7 +69,7 @@
     notice_schedules.send(traffic, seconds)
 
 
-@then("no gateway sends one of them over {most:d} requests")
+@then("no gateway sends one of these heads over {most:d} requests")
 def _(context, most):
     counts = collections.Counter(
         (refusal.gateway, refusal.server)
@@ -111,7 +111,7 @@
         assert took_s <= objective_s, submission
 
 
-@when("they accept requests again for {seconds:g} seconds")
+@when("these heads accept requests again for {seconds:g} seconds")
 def _(context, seconds):
     context.traffic.pauses.clear()
     context.pauses_ended_at = context.traffic.simulation.now
@@ -119,7 +119,7 @@
 
 
 @then(
-    "each of them gets over {per_s:g} requests a second from {late_s:g} "
+    "each of these heads gets over {per_s:g} requests a second from {late_s:g} "
     "seconds after its refusals end"
 )
 def _(context, per_s, late_s):
@@ -181,7 +181,10 @@
     ]
 
 
-@then("the other gateways send them over {per_s:g} requests a second meanwhile")
+@then(
+    "the other gateways send these heads over {per_s:g} requests a second "
+    "during the pause"
+)
 def _(context, per_s):
     found = list_gateways(context, context.started_at, context.ends_at)
     seconds = context.ends_at - context.started_at
@@ -190,8 +193,8 @@
 
 
 @then(
-    "the other gateways send it nothing from {late_s:g} seconds after its "
-    "refusal"
+    "the other gateways send that head nothing from {late_s:g} seconds after "
+    "its refusal"
 )
 def _(context, late_s):
     since = context.traffic.refusals[0].at + late_s
@@ -215,7 +218,7 @@
         context.traffic.run(0.05)
 
 
-@then("none of them reaches that head")
+@then("none of these requests reaches that head")
 def _(context):
     sent = [
         server
@@ -235,7 +238,7 @@
         pass
 
 
-@then("no call is sent to it while the others have free slots")
+@then("no call is sent to that replica while the others have free slots")
 def _(context):
     harness = context.harness
     before = len(harness.list_attempts())
@@ -246,7 +249,9 @@
     assert len(names) == 5 and context.first not in names, names
 
 
-@then("calls are sent to it once retries are left, and then as before")
+@then(
+    "calls are sent to that replica once retries are left, and then as before"
+)
 def _(context):
     harness = context.harness
     before = len(harness.list_attempts())
@@ -272,8 +277,8 @@
 
 
 @then(
-    "no gateway sends over {most:d} requests during a pause that was requested "
-    "of it since it started"
+    "no gateway sends a server over {most:d} requests during a pause requested "
+    "of that gateway since its start"
 )
 def _(context, most):
     traffic = context.traffic
@@ -303,7 +308,7 @@
         assert not found.late_requests, (seed, found)
 
 
-# One gateway; the test acts as its replicas.
+# Steps with one gateway; the test acts as the gateway's replicas.
 
 
 def refuse_request(context, head=PAUSE_HEAD):
@@ -333,7 +338,7 @@
     assert len(harness.list_attempts(name)) == 3
 
 
-@then("no call is sent to the first one for {pause:g} seconds")
+@then("no call is sent to the paused replica for {pause:g} seconds")
 def _(context, pause):
     harness = context.harness
     before = len(harness.list_attempts())
@@ -363,7 +368,7 @@
 
 
 @when(
-    "the replica requests a pause of {pause:g} seconds and then one of "
+    "the replica requests a pause of {pause:g} seconds and then a pause of "
     "{later:g} seconds"
 )
 def _(context, pause, later):
@@ -424,7 +429,7 @@
 
 @when(
     "the replica's next incarnation requests a pause of {pause:g} seconds and "
-    "its previous one a shorter one"
+    "its previous incarnation a shorter pause"
 )
 def _(context, pause):
     assert pause == PAUSE_HEAD.retry_after_s
@@ -440,7 +445,7 @@
     )
 
 
-@then("a call is sent to it at once")
+@then("a call is sent to the replica at once")
 def _(context):
     assert context.harness.list_attempts(
         context.harness.send_request("notices")
@@ -462,7 +467,7 @@
     assert len(context.notices) == 2 * kept
 
 
-@then("none is left when no server is on probation any more")
+@then("no notice is left when no server is on probation any more")
 def _(context):
     ended_at = 10.0 + PAUSE_HEAD.retry_after_s
     context.notices.prune(ended_at + notice_store.PROBATION_S)
@@ -483,8 +488,8 @@
 
 
 @then(
-    "no gateway sends it a request that arrived {late_s:g} seconds after the "
-    "notice"
+    "no gateway sends that head a request that arrived {late_s:g} seconds "
+    "after the notice"
 )
 def _(context, late_s):
     assert late_s == notice_schedules.LEAVE_GRACE_S
@@ -541,7 +546,7 @@
     )
 
 
-@then("no call is sent to it")
+@then("no call is sent to the leaving replica")
 def _(context):
     harness = context.harness
     before = len(harness.list_attempts())
@@ -583,8 +588,8 @@
 
 
 @then(
-    "that call ends with status {status:d} within {most_s:g} seconds, "
-    "never sent"
+    "that call ends with status {status:d} within {most_s:g} seconds without "
+    "being sent"
 )
 def _(context, status, most_s):
     found = context.harness.list_effects(context.name, events.Refuse)
@@ -669,7 +674,7 @@
         assert found is None, (name, found)
 
 
-@then("as many groups serve without it within {limit_s:g} seconds")
+@then("as many groups serve without that head within {limit_s:g} seconds")
 def _(context, limit_s):
     simulation = context.traffic.simulation
 
@@ -680,7 +685,7 @@
     simulation.run_until(is_repaired, limit_s)
 
 
-@when("it restarts under its id")
+@when("that head restarts under its id")
 def _(context):
     context.traffic.run(0.5)
     simulation = context.traffic.simulation
@@ -693,7 +698,7 @@
     context.restarted.born = 2000
 
 
-@then("all coordinators treat it as ready within {limit_s:g} seconds")
+@then("all coordinators treat that head as ready within {limit_s:g} seconds")
 def _(context, limit_s):
     context.traffic.run(limit_s)
     for role in context.traffic.simulation.coordinators.values():
@@ -720,7 +725,7 @@
     simulation.crash(head.members[1])
 
 
-@then("it gets no order and no probe for {pause:g} seconds")
+@then("that head gets no order and no probe for {pause:g} seconds")
 def _(context, pause):
     simulation = context.traffic.simulation
     simulation.run(pause - 0.01)
@@ -741,7 +746,7 @@
         for n in simulation.coordinator_names
         if n.startswith(f"{server.zone}/")
     )
-    # Streams that still run there would show that it is alive.
+    # Streams that still run at the head would show that the head is alive.
     traffic.run(2.0)
     for other in [*simulation.coordinator_names, *simulation.gateways]:
         simulation.partition(other, context.head)
--- a/tests/steps/notice_store_steps.py
+++ b/tests/steps/notice_store_steps.py
@@ -47,13 +47,16 @@
     context.now = 10.0 + ROUND_TRIP_S
 
 
-@then("it is likely to refuse for {duration:g} seconds after the last refusal")
+@then(
+    "the server is likely to refuse for {duration:g} seconds after its last "
+    "refusal"
+)
 def _(context, duration):
     assert is_likely_to_refuse(context, context.now + duration - 0.01)
     assert not is_likely_to_refuse(context, context.now + duration + 0.01)
 
 
-@when("it responds to a request that was sent {when} that")
+@when("it responds to a request that was sent {when} the refusals")
 def _(context, when):
     sent_at = context.now + (0.1 if when == "after" else -0.1)
     context.responded_at = context.now + 0.2
@@ -65,14 +68,17 @@
     )
 
 
-@then("it is not likely to refuse")
+@then("the server is not likely to refuse")
 def _(context):
     assert not is_likely_to_refuse(
         context, context.responded_at, may_probe=False
     )
 
 
-@then("after a further refusal it is likely to refuse for {duration:g} seconds")
+@then(
+    "after a further refusal the server is likely to refuse for {duration:g} "
+    "seconds"
+)
 def _(context, duration):
     now = context.responded_at + 0.1
     context.store.record_response(
@@ -93,7 +99,7 @@
     context.ends_at = context.now + pause
 
 
-@when("it responds to a request that was sent {when} the end of that pause")
+@when("it responds to a request that was sent {when} the end of the pause")
 def _(context, when):
     sent_at = context.ends_at + (0.1 if when == "after" else -0.1)
     context.responded_at = context.ends_at + 0.2
@@ -105,7 +111,7 @@
     )
 
 
-@then("it is likely to refuse after that pause if no retry is left")
+@then("the server is likely to refuse after the pause if no retry is left")
 def _(context):
     assert is_likely_to_refuse(context, context.responded_at, may_probe=False)
     assert not is_likely_to_refuse(
@@ -123,7 +129,7 @@
     )
 
 
-@when("another node reports its last refusal")
+@when("another node reports the server's last refusal")
 def _(context):
     now = context.responded_at + 0.05
     age_ms = round(1000 * (now - context.now))
@@ -151,7 +157,7 @@
     context.store.merge_pauses((reported,), context.now)
 
 
-@given("another refusal is reported {delay:g} seconds later")
+@given("another refusal of the server is reported {delay:g} seconds later")
 def _(context, delay):
     reported = messages.Pause(
         REPLICA.name, REPLICA.born, 4000, is_estimated=True
@@ -182,7 +188,9 @@
     )
 
 
-@then("it is likely to refuse for {duration:g} seconds after the response")
+@then(
+    "the server is likely to refuse for {duration:g} seconds after its response"
+)
 def _(context, duration):
     assert is_likely_to_refuse(context, context.responded_at + duration - 0.01)
     assert not is_likely_to_refuse(
--- a/tests/steps/permit_steps.py
+++ b/tests/steps/permit_steps.py
@@ -88,7 +88,7 @@
     context.request = collect_request(context.harness)
 
 
-@when("the reply has no permit for {wait_s:g} seconds")
+@when("the reply states that there is no permit for {wait_s:g} seconds")
 def _(context, wait_s):
     grant(context.harness, 0, 2.0, context.request, wait_s=wait_s)
 
@@ -151,7 +151,7 @@
     assert found.is_needed, found
 
 
-@then("with the permit the call is sent at once")
+@then("the call is sent at once when the permit arrives")
 def _(context):
     grant(context.harness, 1, 2.0, context.request)
     assert context.harness.list_attempts(context.name)
@@ -185,13 +185,16 @@
     assert held == count, held
 
 
-@then("its next request for permits returns {count:d}")
+@then("the gateway's next request for permits returns {count:d} permits")
 def _(context, count):
     (found,) = context.request.asks
     assert found.returned == count, found
 
 
-@given("two limits, their end, a new incarnation's limit, and a late old one")
+@given(
+    "two limits, their end, the limit of a new incarnation, and a late report "
+    "of the old incarnation"
+)
 def _(context):
     def make_limit(born, per_s, age_s, *, is_named=True):
         age_ms = int(age_s * 1000)
@@ -202,12 +205,12 @@
         make_limit(1, 2.0, 3.0),
         make_limit(1, 0.0, 2.0, is_named=False),
         make_limit(2, 7.0, 1.0),
-        # Delayed on its way, so it looks newer than it is.
+        # This report was delayed on its way, so it looks newer than it is.
         make_limit(1, 9.0, 0.5),
     ]
 
 
-@then("in any order the new incarnation's limit is known, and no other")
+@then("in any order only the limit of the new incarnation is known")
 def _(context):
     now = 100.0
     for order in itertools.permutations([*context.updates, context.updates[0]]):
@@ -233,13 +236,13 @@
     context.grown = after - before
 
 
-@then("it keeps {count:d} of them, in less than 1 MB")
+@then("the gateway keeps {count:d} limits, in less than 1 MB")
 def _(context, count):
     assert context.harness.permits.table.count_named() == count
     assert context.grown < 1_000_000, context.grown
 
 
-@then("{seconds:g} seconds later it keeps none")
+@then("{seconds:g} seconds later the gateway keeps no limit")
 def _(context, seconds):
     context.harness.now += seconds
     context.harness.permits.prune(context.harness.now)
@@ -257,8 +260,8 @@
 
 
 @then(
-    "it sends {least:d} to {most:d} of them, none before {late_s:g} seconds "
-    "have passed"
+    "the gateway sends {least:d} to {most:d} of these calls, none before "
+    "{late_s:g} seconds have passed"
 )
 def _(context, least, most, late_s):
     harness = context.harness
