--- a/src/hickorylead/claims/claim_holder.py
+++ b/src/hickorylead/claims/claim_holder.py
@@ -1,8 +1,8 @@
 """A claim holder: stores which submission of an idempotency key may run.
 
-The claim on a key is requested from one holder in each zone, and a majority of
-zones must grant it. Nothing is stored on disk. Wall-clock times are Unix
-seconds.
+An entry requests the claim on a key from one holder in each zone, and holders
+of a majority of the zones must grant it. Nothing is stored on disk. Wall-clock
+times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,9 @@
 
 RETENTION_S = 900.0
 MAX_SKEW_S = 300.0
-# Both limits keep a holder within its share of 64 MB; see docs/CAPACITY.md.
+# Maximum number of claims, and maximum bytes of all stored response bodies
+# together. Both limits keep a holder within its share of 64 MB; see
+# docs/CAPACITY.md.
 MAX_CLAIMS = 20_000
 MAX_BODY_BYTES = 2 * 1024 * 1024
 
@@ -25,10 +27,11 @@
     """A claim that was granted.
 
     Attributes:
-        owner: Submission that holds it.
-        fingerprint: Hash over its request.
+        owner: Submission that holds the claim.
+        fingerprint: Hash over the submission's request.
         made_at: Time in the key.
-        answer: Its final response; None while it may be running.
+        answer: Final response to the request; None while the request may be
+            running.
     """
 
     owner: str
@@ -56,14 +59,14 @@
         """
         self._node = node
         self._max_skew_s = max_skew_s
-        # A restart loses all claims. Their keys were made before the restart,
-        # within the clock skew, and no key that old is granted, so a lost
-        # claim is never granted twice.
+        # A restart loses all claims. The keys of the lost claims were made
+        # before the restart, within the clock skew. A claim on a key that old
+        # is not granted, so a lost claim is never granted twice.
         self._min_made_at = started_at + max_skew_s
         self._claims: collections.OrderedDict[str, Claim] = (
             collections.OrderedDict()
         )
-        # Body sizes by key of the responses that have a body, oldest first.
+        # Sizes of the stored response bodies by key, oldest first.
         self._body_sizes: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -134,10 +137,10 @@
     def _make_room(self, wall_time: float) -> bool:
         """Drops expired claims; returns whether there is room for another.
 
-        A key is refused as too old once its age exceeds the retention by any
-        clock within the skew, so its claim is stored for that much longer.
-        When younger claims fill the store, new claims are refused: dropping a
-        younger one could let its request run twice.
+        A claim is stored until its key is older than the retention by every
+        clock within the skew; from then on the key is refused as too old. When
+        unexpired claims fill the store, new claims are refused: dropping an
+        unexpired claim could let its request run twice.
         """
         drop_before = wall_time - RETENTION_S - 2 * self._max_skew_s
         while self._claims:
--- a/src/hickorylead/claims/claimant.py
+++ b/src/hickorylead/claims/claimant.py
@@ -2,8 +2,9 @@
 
 Requests go to one holder after another until a majority has granted the claim.
 The order follows from the key and is the same for every entry: if several
-entries claim one key at the same time, the one that gets the first holder
-wins, instead of each getting one.
+entries claim one key at the same time, the entry that gets the grant of the
+first holder wins. In different orders, each entry could get the grant of one
+holder.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-# A holder that does not reply within this time is skipped.
+# Time after which a holder that has not replied is skipped, in seconds.
 HOLDER_TIMEOUT_S = 0.25
 
 ClaimResult = Literal[
@@ -34,7 +35,7 @@
     Args:
         key: The claimed key.
         controls: Control processes by zone, from the settings. The set is
-            fixed: two entries with different sets could find two majorities.
+            fixed: two entries with different sets could each get a majority.
     """
     return [
         rendezvous.rank_names(key, controls[zone])[0]
--- a/src/hickorylead/claims/idempotency_keys.py
+++ b/src/hickorylead/claims/idempotency_keys.py
@@ -1,9 +1,9 @@
 """Idempotency keys that contain the time of their creation.
 
 A key is a ULID or a UUID of version 7. From the time in the key, a claim holder
-determines whether it could have lost the claim on it, and refuses such a key
-instead of guessing. (Ordering records by an id that contains a time is from the
-OK Log design, "Ingest segments".)
+determines whether it could have lost a claim on that key. If so, it does not
+grant the claim, instead of guessing. (Ordering records by an id that contains a
+time is from the OK Log design, "Ingest segments".)
 """
 
 from __future__ import annotations
--- a/src/hickorylead/configuration/changes.py
+++ b/src/hickorylead/configuration/changes.py
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class NoChange:
-    """Changes nothing; committing one shows a new leader what is committed."""
+    """Changes nothing; a new leader commits it to know what is committed."""
 
 
 @attrs.frozen
@@ -79,7 +79,7 @@
     """Replaces the set of voters; the new set may differ by one voter only.
 
     Attributes:
-        voters: Each as `node#incarnation`.
+        voters: The voters, each as `node#incarnation`.
     """
 
     voters: tuple[str, ...]
--- a/src/hickorylead/configuration/document.py
+++ b/src/hickorylead/configuration/document.py
@@ -13,8 +13,9 @@
 
 import attrs
 
-# Largest size of a decompressed configuration. Without a limit, a small
-# compressed one could expand to far more memory than its own size.
+# Largest size of a decompressed configuration, in bytes. Without a limit, a
+# small compressed configuration could expand to far more memory than its own
+# size.
 MAX_CONTENT_BYTES = 8 * 1024 * 1024
 
 
@@ -242,7 +243,7 @@
         key for workspace in document.workspaces for key in workspace.keys
     )
     if any(count > 1 for count in keys.values()):
-        # The key would not identify the workspace of a caller.
+        # A shared key would not identify the workspace of a caller.
         problems.append("two workspaces share a key")
     return problems
 
--- a/src/hickorylead/configuration/follower.py
+++ b/src/hickorylead/configuration/follower.py
@@ -10,7 +10,8 @@
     from collections.abc import Sequence
 
 POLL_PERIOD_S = 1.0
-# A leader that has sent no update for this long may be unreachable from here.
+# Time without an update after which the leader may be unreachable from here, in
+# seconds.
 LEADER_TIMEOUT_S = 4.0
 
 
@@ -20,8 +21,8 @@
     A version is in force in a zone once a majority of the zone's control
     processes holds it. A process that restarted without a disk has lost the
     version that it held. Before it is ready, it must therefore receive updates
-    from enough of them to overlap with every such majority, or from the leader
-    of the voters.
+    from enough control processes of the zone to overlap with every such
+    majority, or from the leader of the voters.
     """
 
     def __init__(
@@ -35,17 +36,19 @@
 
         Args:
             node: Name of this process.
-            controls: Control processes of the zone, including this one if it
-                is one.
+            controls: Control processes of the zone, including this process if
+                it is a control process.
             all_controls: Control processes of all zones, in which this process
-                looks for the leader; empty if it is not a control process.
+                looks for the leader; empty if this process is not a control
+                process.
         """
         self._node = node
         self._zone_peers = tuple(name for name in controls if name != node)
         majority = len(controls) // 2 + 1
         if all_controls:
-            # This process may itself have been one of that majority, so that
-            # as few as `majority - 1` of the others may hold the version.
+            # This process may itself belong to the majority that held the
+            # version in force, so that as few as `majority - 1` of the others
+            # may hold the version.
             self._required_senders = len(controls) - majority + 1
         else:
             self._required_senders = majority
@@ -66,8 +69,8 @@
     def adopt(self, configuration: model.Configuration) -> bool:
         """Applies a configuration if it is newer; returns whether it was."""
         if configuration.version <= self.version:
-            # The update is late, or from a process that is behind. Going back
-            # would put a preset in force again that was replaced.
+            # The update is late, or from a process that is behind. Applying an
+            # older version would put a replaced preset in force again.
             return False
         self.configuration = configuration
         return True
@@ -104,7 +107,7 @@
     def collect_messages(self, now: float) -> list[messages.Send]:
         """Returns requests for newer versions when they are due.
 
-        An entry that is ready sends no more of them: its digests report the
+        An entry that is ready sends no more requests: its digests report the
         version that it holds to the control processes, which send it a newer
         one.
         """
@@ -129,7 +132,8 @@
             return [leader]
         # The leader may have failed, and with it the only voter of this zone:
         # then no process of the zone receives the name of the new leader. Any
-        # process of another zone may have it, so they are queried in turn.
+        # process of another zone may have that name, so the processes of all
+        # zones are queried in turn.
         self._rotation += 1
         count = len(self._all_controls)
         return [self.leader, self._all_controls[self._rotation % count]]
--- a/src/hickorylead/configuration/messages.py
+++ b/src/hickorylead/configuration/messages.py
@@ -54,10 +54,10 @@
     Attributes:
         outcome: The outcome, if `final`.
         final: Whether the change has been decided.
-        leader: Control process to send it to instead; empty if there is no
-            leader.
-        lost: Whether it was appended by a leader that then lost its majority;
-            it may take effect or not, which a resend determines.
+        leader: Control process to send the change to instead; empty if there is
+            no leader.
+        lost: Whether the change was appended by a leader that then lost its
+            majority; it may take effect or not, which a resend determines.
     """
 
     outcome: changes.Outcome
--- a/src/hickorylead/configuration/model.py
+++ b/src/hickorylead/configuration/model.py
@@ -19,7 +19,7 @@
         version: Model version.
         adapters: Names of adapters loaded with the model.
         replicas: Total number of replicas in all zones, unless a preset sets
-            another.
+            another number.
         group_size: VMs in one replica group.
         rank: Order in which services get loads and VMs if there are too few; 0
             is first.
--- a/src/hickorylead/consensus/configuration_requests.py
+++ b/src/hickorylead/consensus/configuration_requests.py
@@ -17,12 +17,13 @@
 if TYPE_CHECKING:
     from hickorylead.consensus import voter as voter_module
 
-# Operators give up on a request after a second and try another node, so a
-# request that is still undecided gets the response "not known" before that.
+# Time after which a request that is still undecided gets the response "not
+# known", in seconds. Operators give up on a request after one second and try
+# another node.
 REQUEST_TIMEOUT_S = 0.9
-# Interval at which a request is forwarded again, in seconds: a leader replies
-# within a few disk syncs, and if there is none, the next one is elected in
-# about a second.
+# Interval at which a node forwards a request to the leader again, in seconds. A
+# leader replies within a few disk syncs; without a leader, the next one is
+# elected in about a second.
 RESEND_INTERVAL_S = 0.25
 
 
@@ -61,7 +62,7 @@
 
 
 class ConfigurationRequests:
-    """Pending requests about the complete configuration at one coordinator."""
+    """Pending requests to replace or read the complete configuration."""
 
     def __init__(self, *, node: str, voter: voter_module.Voter) -> None:
         """Creates the state without any pending requests.
@@ -91,8 +92,8 @@
             token: Identifies the request.
             version: The operator's version.
             content: The encoded configuration.
-            requester: Node that forwarded it; empty if it came directly from
-                an operator.
+            requester: Node that forwarded the request; empty if the request
+                came directly from an operator.
             now: Present time.
         """
         self._replaces[token] = _Replace(version, content, requester, now)
@@ -105,8 +106,8 @@
 
         Args:
             token: Identifies the request.
-            requester: Node that forwarded it; empty if it came directly from
-                an operator.
+            requester: Node that forwarded the request; empty if the request
+                came directly from an operator.
             held_version: Version that the requester holds.
             now: Present time.
         """
@@ -170,8 +171,9 @@
     def _advance_replace(self, token: str, now: float) -> list[Effect]:
         pending = self._replaces[token]
         if pending.version <= self._voter.configuration.outside_version:
-            # What this voter has applied is committed, so an equal or higher
-            # version is already in force and this one changes nothing.
+            # The configuration that this voter has applied is committed, so an
+            # equal or higher version is already in force and the request
+            # changes nothing.
             return self._finish_replace(token, True)
         if pending.change_id:
             return []
--- a/src/hickorylead/consensus/messages.py
+++ b/src/hickorylead/consensus/messages.py
@@ -1,8 +1,8 @@
 """Messages between voters, and their journal records.
 
-A member is one incarnation of a voter, written `node#incarnation`. A voter
-that lost its disk returns as another member: it cannot vote as the old one,
-so it cannot revoke what the old one acknowledged.
+A member is one incarnation of a voter, written `node#incarnation`. A voter that
+lost its disk returns as a new member. It cannot vote as the old member, so it
+cannot revoke what the old member acknowledged.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class VoteRequest:
-    """Requests a vote; with `trial`, only whether it would be granted."""
+    """Requests a vote; a `trial` only queries whether it would be granted."""
 
     cluster: str
     recipient: str
@@ -79,7 +79,7 @@
     """Entries for a member, or none as a heartbeat.
 
     Attributes:
-        sent_at: The leader's clock when it sent this; the reply repeats it.
+        sent_at: Time of sending, by the leader's clock; the reply repeats it.
     """
 
     cluster: str
@@ -101,7 +101,8 @@
         member: The member that replies.
         term: Its term.
         matched: Whether its log now agrees with the leader's up to `index`.
-        index: Last index agreed on, or where the leader should try next.
+        index: Last index at which the logs agree; if not `matched`, the index
+            after which the leader should try next.
         sent_at: Time of the request, by the leader's clock.
     """
 
--- a/src/hickorylead/consensus/state_machine.py
+++ b/src/hickorylead/consensus/state_machine.py
@@ -9,10 +9,10 @@
 
 SNAPSHOT_INTERVAL_ENTRIES = 256
 MAX_OUTCOMES = 8192
-# Bytes of complete configurations in the log before a snapshot replaces them.
-# An encoded configuration has some 10 KB, so this is about 200 changes, and the
-# log, held in memory and on disk, uses a few MB of the 128 MB of the smallest
-# disks.
+# Bytes of complete configurations in the log after which a snapshot replaces
+# the entries of the log. An encoded configuration has some 10 KB, so this limit
+# is about 200 changes. The log is held in memory and on disk and uses a few MB
+# of the 128 MB of the smallest disks.
 MAX_LOG_BYTES = 2 * 1024 * 1024
 
 
@@ -52,12 +52,14 @@
                 self.configuration, change
             )
             if isinstance(change.operation, changes.ReplaceWhole):
-                # A resend is recognised by its version, not by its id.
+                # A resend of a complete configuration is recognised by its
+                # version, not by its change id, so its outcome is not stored.
                 self._log_bytes += len(change.operation.content)
                 return [messages.Answer(outcome)]
             self._outcomes[change.change_id] = outcome
-            # Dropping the oldest outcomes is safe: a resend expects an old
-            # version, so it is rejected instead of taking effect twice.
+            # Dropping the oldest outcomes is safe: a resend of an old change
+            # expects an old version, so it is rejected instead of taking effect
+            # twice.
             while len(self._outcomes) > MAX_OUTCOMES:
                 self._outcomes.popitem(last=False)
         return [messages.Answer(outcome)]
@@ -74,7 +76,7 @@
         self._log_bytes = 0
 
     def make_snapshot(self, log: log_module.Log) -> messages.Snapshot:
-        """Returns a snapshot of the state with the voters at that index."""
+        """Returns a snapshot of the state with the voters of that time."""
         term = log.get_term(self.applied)
         assert term is not None, "the last applied entry is known"
         voters = log.snapshot.voters
--- a/src/hickorylead/consensus/voter.py
+++ b/src/hickorylead/consensus/voter.py
@@ -40,18 +40,18 @@
         election_max_s: Longest time without a leader after which a voter
             starts an election, in seconds.
         first_election_max_s: Longest election timeout of a voter that has just
-            started, in seconds; 0 for the usual timeout. There is no leader
-            after all voters were killed; if there is one, the trial vote
-            keeps the new voter from deposing it.
+            started, in seconds; 0 for the usual timeout. After all voters were
+            killed, there is no leader to wait for; if there is a leader, the
+            trial vote keeps the new voter from deposing it.
         replace_after_s: Time without contact after which a voter is removed if
             another voter of its zone is reachable, in seconds; 0 if voters are
             never removed for this reason.
         min_voters: Smallest number of voters that such removals leave.
         rejoin_after_s: Time without a leader after which a voter requests to
-            join again, in seconds. It may have been removed while it was
+            join again, in seconds. A voter may have been removed while it was
             frozen. The log entry that removed it is not sent to it, so without
-            this it would request votes in vain for ever. A leader ignores the
-            request of a member that is still a voter.
+            this request it would request votes in vain for ever. A leader
+            ignores the request of a member that is still a voter.
     """
 
     heartbeat_s: float = 0.5
@@ -109,8 +109,9 @@
         self.member = f"{node}#{incarnation}"
         self.role: Role = "follower"
         self.leader = ""
-        # Whether this voter has everything that the leader had committed;
-        # false after a start until the first append of a leader arrives.
+        # Whether this voter has every entry that the leader had committed when
+        # it sent its last append; false from a start until the first append
+        # arrives.
         self.is_caught_up = False
         self.log = log_module.Log()
         self.commit = 0
@@ -179,9 +180,9 @@
         if self.cluster:
             return []
         self._election_deadline = self._last_leader_contact_at
-        # The first entry replicates the set of voters; if it were only in a
-        # snapshot of this voter, the others could elect no leader after this
-        # voter is lost.
+        # The first log entry contains the set of voters and replicates it. If
+        # the set were only in a snapshot of this voter, the other voters could
+        # not elect a leader after the loss of this voter.
         change = changes.Change("", -1, changes.SetVoters(voters))
         entry = messages.LogEntry(1, 0, change)
         return [
@@ -215,9 +216,9 @@
         """Returns whether a read requested at a time may be answered now.
 
         A leader may have been replaced without having received any message
-        about it, and its response would be stale. Once a majority has replied
-        to messages that were sent after the read arrived, no other leader can
-        have been elected before it arrived.
+        about the new leader; its response would be stale. Once a majority has
+        replied to messages that were sent after the read arrived, no other
+        leader can have been elected before it arrived.
         """
         reached = {
             member
@@ -390,9 +391,10 @@
             for voter in self.voters
             if voter != self.member
         }
-        # Entries of earlier terms are committed only by an entry of this term
-        # after them: even if a majority holds them, a later leader could
-        # still overwrite them.
+        # The new leader appends an entry without a change. Entries of earlier
+        # terms count as committed only once a later entry of this term is
+        # committed: even if a majority holds them, a later leader could still
+        # overwrite them.
         no_change = changes.Change("", -1, changes.NoChange())
         entry = messages.LogEntry(self.log.last_index + 1, self.term, no_change)
         return [*self._append([entry]), *self._replicate(now)]
@@ -416,10 +418,11 @@
     # Replication, leader side.
 
     def _tick_leader(self, now: float) -> list[messages.Effect]:
-        # A leader that is partitioned off without an error stays in its role.
-        # Its callers would wait for ever, and its reads would be stale. It
-        # steps down once it has had no contact with a majority for the shortest
-        # election timeout, before another leader can have been elected.
+        # A leader that is partitioned without a connection error would keep its
+        # role: its callers would wait for ever, and its reads would be stale.
+        # So a leader steps down once it has had no contact with a majority for
+        # the shortest election timeout, before another leader can have been
+        # elected.
         if not self._has_majority(now):
             return self._step_down(self.term, now)
         effects = self._remove_unreachable_voter(now)
@@ -430,8 +433,9 @@
     def _remove_unreachable_voter(self, now: float) -> list[messages.Effect]:
         """Removes a lost voter if another voter of its zone is reachable.
 
-        A VM that is gone for good would count against every later majority. A
-        voter that was only partitioned off requests to join again.
+        A voter whose VM is gone for good would count against every later
+        majority. A removed voter that was only partitioned requests to join
+        again.
         """
         timeout_s = self._options.replace_after_s
         if not timeout_s or len(self.voters) <= self._options.min_voters:
@@ -521,9 +525,10 @@
         progress = self._progress.get(reply.member)
         if self.role != "leader" or reply.term != self.term or not progress:
             return []
-        # Counted from when the request was sent: after a freeze, a leader
-        # would otherwise count replies that had waited in its buffers as
-        # recent contact, and stay leader after another one was elected.
+        # The time of contact is when the request was sent, not when the reply
+        # arrived: after a freeze, a leader would otherwise count replies that
+        # had waited in its buffers as recent contact, and stay leader after
+        # another one was elected.
         progress.last_contact_at = max(progress.last_contact_at, reply.sent_at)
         if not reply.matched:
             progress.next_index = max(
@@ -592,7 +597,7 @@
 
     def _is_changing_voters(self) -> bool:
         # Until an entry of this term is committed, a change of voters that
-        # an earlier leader started could still be in some log.
+        # an earlier leader started could still be in some voter's log.
         if self.log.get_term(self.commit) != self.term:
             return True
         rest = self.log.list_from(self.commit + 1, len(self.log))
@@ -630,8 +635,8 @@
         )
         known = self.log.get_term(request.previous_index)
         if request.previous_index < self.log.snapshot.index:
-            # Everything up to the snapshot is committed, so the logs agree
-            # there.
+            # Every entry up to this voter's snapshot is committed, so the log
+            # agrees with the leader's there.
             known = request.previous_term
         if known != request.previous_term:
             hint = min(self.log.last_index, request.previous_index - 1)
--- a/src/hickorylead/lease/messages.py
+++ b/src/hickorylead/lease/messages.py
@@ -13,7 +13,7 @@
 
     Attributes:
         candidate: Control process that sends the request.
-        number: Fencing number that it would hold.
+        number: Fencing number that the candidate would hold.
         round: Number of the candidate's request; the reply repeats it.
     """
 
@@ -28,8 +28,8 @@
 
     Attributes:
         grantor: Control process that replies.
-        granted: Whether it granted the lease for one term.
-        highest: Highest fencing number it has observed.
+        granted: Whether the grantor granted the lease for one term.
+        highest: Highest fencing number that the grantor has observed.
         round: Round of the request.
     """
 
--- a/src/hickorylead/lease/zone_lease.py
+++ b/src/hickorylead/lease/zone_lease.py
@@ -1,7 +1,7 @@
 """The zone lease: one control process of a zone issues orders at a time.
 
 Every control process is a grantor and a candidate. Nothing is stored on disk.
-Times are seconds of a monotonic clock; only its rate matters, not its value.
+Times are seconds of a monotonic clock; only the clock's rate matters.
 """
 
 from __future__ import annotations
@@ -14,19 +14,20 @@
     import random
 
 TERM_S = 3.0
-# Fraction of the term after which the holder stops, so that it stops before its
-# grants expire, and there are never two holders at once if the rates of the
-# clocks differ by up to a tenth.
+# Fraction of the term after which a holder without a renewal stops issuing
+# orders. It stops before its grants expire, so there are never two holders at
+# once if the rates of the clocks differ by up to a tenth.
 HOLDER_TERM_FRACTION = 0.9
 RENEW_INTERVAL_S = 0.75
 ROUND_TIMEOUT_S = 0.25
 RETRY_MIN_S = 0.4
 RETRY_MAX_S = 1.6
 MAX_ORDER_DELAY_S = 2.0
-# Fencing numbers rise in steps of this; the part below a step is random. After
-# all control processes of the zone have restarted, none of them has the numbers
-# that were used, and two holders with the same number would be
-# indistinguishable.
+# Step in which fencing numbers rise; the part of a number below the step is
+# random. After all control processes of the zone have restarted, none of them
+# has a record of the numbers that were used. Without the random part, a new
+# holder could have the same number as a previous one and be indistinguishable
+# from it.
 NUMBER_STEP = 1 << 20
 
 
@@ -55,9 +56,9 @@
         self._nodes = tuple(sorted(nodes))
         self._rng = rng
         # A grantor that restarted has lost its record of the lease that it
-        # granted. Until that grant has expired it must not make another one,
-        # or two processes would hold the lease. One full term without grants
-        # is enough, as no grant is longer.
+        # granted. Until that grant has expired it must not grant the lease
+        # again, or two processes could hold it. One full term without grants is
+        # enough, as no grant lasts longer.
         self._abstains_until = now + TERM_S
         self._granted_to = ""
         self._granted_until = now
@@ -72,7 +73,7 @@
 
     @property
     def fencing_number(self) -> int:
-        """The fencing number held, or last held."""
+        """Fencing number of the lease that this process holds or last held."""
         return self._number
 
     def is_held(self, now: float) -> bool:
@@ -142,18 +143,19 @@
                 return []
 
     def _end_failed_round(self, now: float) -> None:
-        """Revokes the grant to itself if no majority granted the lease.
+        """Revokes this process's grant to itself if no majority granted it.
 
         Two candidates that each granted the lease to themselves would refuse
         each other for as long as both keep trying. Between its rounds a
-        candidate has no grant, so the next round of the other one succeeds.
+        candidate has no grant, so the other candidate's next round succeeds.
         """
         if (
             self._granted_to == self._node
             and not self.is_held(now)
             and now - self._round_sent_at >= ROUND_TIMEOUT_S
         ):
-            # Replies to that round may still arrive; they are ignored.
+            # Replies to the failed round may still arrive; they are ignored
+            # because their round number is no longer current.
             self._round += 1
             self._granted_to = ""
             self._granted_until = now
@@ -190,8 +192,9 @@
             return
         if not self.is_held(now):
             self._held_since = now
-        # Counted from when the request was sent: grantors count from when it
-        # arrived, which is later, so the holder always stops first.
+        # The holder counts its term from when it sent the request. Grantors
+        # count theirs from when the request arrived, which is later, so the
+        # holder always stops first.
         self._held_until = self._round_sent_at + TERM_S * HOLDER_TERM_FRACTION
 
     def _choose_number(self) -> int:
--- a/src/hickorylead/membership/announcement_receiver.py
+++ b/src/hickorylead/membership/announcement_receiver.py
@@ -10,8 +10,9 @@
 
 ANNOUNCEMENT_TIMEOUT_S = 3.5
 DIGEST_PERIOD_S = 1.0
-# Control processes that do not hold the lease only have to be ready to take
-# over; they get every third digest.
+# Number of digest periods between two digests to a control process that does
+# not hold the zone lease: it only has to be ready to take over, so it gets
+# every third digest.
 STANDBY_DIGEST_PERIODS = 3
 
 
@@ -73,7 +74,7 @@
         Args:
             now: Present time.
             configuration: Version of the configuration that this entry uses.
-            fence: Fencing number of its replica table.
+            fence: Fencing number of this entry's replica table.
             holder: Control process that sent that table; empty if unknown.
         """
         expired = [
@@ -109,7 +110,7 @@
         return effects
 
     def resend(self, control: str) -> list[messages.Send]:
-        """Sends all states to one control process, each as an edge."""
+        """Sends all states to one control process, each as an Edge."""
         return [
             messages.Send(control, messages.Edge(self._entry, state))
             for state in self.list_states()
--- a/src/hickorylead/membership/announcements.py
+++ b/src/hickorylead/membership/announcements.py
@@ -38,7 +38,7 @@
         size: VMs in the group.
         weights: Weights in memory, named as in `Service.weights`.
         fence: Highest fencing number it has received.
-        checks_fence: Whether it refuses orders with a lower number.
+        checks_fence: Whether it refuses orders with a lower fencing number.
         slots: Number of requests that it runs at the same time.
         keepalive_s: Longest gap between two frames of a live stream, in
             seconds.
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class CacheEvents:
-    """Prefix-cache events; a gap in the sequence means some were lost.
+    """Prefix-cache events; a gap in the sequence means lost events.
 
     Attributes:
         first: Sequence number of the first event.
--- a/src/hickorylead/membership/messages.py
+++ b/src/hickorylead/membership/messages.py
@@ -45,8 +45,8 @@
     Attributes:
         entry: Entry that receives the announcements.
         count: Number of servers that announce to it.
-        check: Hash over the states of all of them.
-        loads: Loads of those that accept requests.
+        check: Hash over the states of all these servers.
+        loads: Loads of the servers that accept requests.
         configuration: Version of the configuration that the entry uses.
         fence: Fencing number of the zone's replica table at the entry.
         period_s: Time until the next digest to the same receiver.
--- a/src/hickorylead/membership/registry.py
+++ b/src/hickorylead/membership/registry.py
@@ -10,9 +10,10 @@
     messages,
 )
 
-# When an entry dies, the announcements that it received are lost. Its servers
-# announce to another entry within two of their periods; until then they are
-# neither present nor lost, so that no working group is repaired.
+# When an entry dies, the announcements that it received are lost. The servers
+# that announced to it announce to another entry within two announcement
+# periods. Until then they are treated as neither present nor lost, so that no
+# working group is repaired.
 ENTRY_TIMEOUT_PERIODS = 3.5
 MOVE_GRACE_S = 4.0
 RESEND_PERIOD_S = 1.0
@@ -27,7 +28,8 @@
         state: Its last announced state.
         entry: The entry that receives its announcements.
         load: Its load, if it accepts requests.
-        missing_since: Since when no entry reports it; None while one does.
+        missing_since: Time since which no entry reports the server; None while
+            an entry reports it.
     """
 
     state: announcements.ServerState
@@ -94,8 +96,8 @@
                 self._record_contact(entry, now)
                 member = self.members.get(vm)
                 if member and member.entry == entry:
-                    # The entry sends this after its timeout: the server is
-                    # lost at once.
+                    # The entry reports this only after the announcement
+                    # timeout, so the server is treated as lost at once.
                     self._remove(vm)
             case messages.Digest():
                 return self._handle_digest(message, now)
@@ -161,8 +163,9 @@
             member = self.members.get(item.vm)
             if member and member.entry == digest.entry:
                 member.load = item.load
-        # A lost edge would leave this registry wrong for ever; the digest
-        # reveals that within one period, whatever message was lost.
+        # The loss of an Edge would leave this registry wrong for ever. The
+        # digest reveals such a loss within one period, whatever message was
+        # lost.
         agrees = len(record.state_hashes) == digest.count and (
             record.combined_hash == digest.check
         )
--- a/src/hickorylead/roles/bootstrap.py
+++ b/src/hickorylead/roles/bootstrap.py
@@ -31,7 +31,7 @@
     """Queries the identity of every control process, then decides."""
 
     def __init__(self, *, node: str, controls: Sequence[str]) -> None:
-        """Initializes it without a pending request.
+        """Initializes the bootstrap without a pending request.
 
         Args:
             node: Node name of this control process.
@@ -54,9 +54,9 @@
     ) -> Decision | None:
         """Handles a reply; decides once every control process has replied.
 
-        All must reply: a control process that was left out could belong to an
-        existing cluster already, whose accepted changes the new cluster would
-        not contain.
+        Every control process must reply: one that was left out could belong to
+        an existing cluster already, whose accepted changes the new cluster
+        would not contain.
         """
         request = self._request
         if request is None:
--- a/src/hickorylead/roles/control.py
+++ b/src/hickorylead/roles/control.py
@@ -1,7 +1,7 @@
 """The reducer of a control process.
 
-It holds claims, takes part in its zone's lease, follows the configuration,
-and is a voter of the configuration log if it has a data folder.
+A control process holds claims, takes part in its zone's lease, follows the
+configuration, and is a voter of the configuration log if it has a data folder.
 """
 
 from __future__ import annotations
@@ -191,13 +191,14 @@
         return _send_all(self._crashes.merge(update, others, now))
 
     def _send_blocks(self, now: float) -> list[interface.ControlEffect]:
-        """Sends blocked requests to the zone's entries, then resends them.
+        """Reports blocked requests to the zone's entries, then repeats this.
 
-        Other control processes get the evidence again as well: all control
-        processes of a zone may have restarted and lost it.
+        The other control processes get the evidence again as well: all control
+        processes of a zone may have restarted and lost the evidence.
         """
         entries = sorted(self._registry.entries)
-        # Entries detect which replicas ended; nothing is sent before that.
+        # Entries detect which replicas ended. Nothing is sent before an entry
+        # has reported an ended replica.
         sent, _ = self._crashes.tick(lambda _: False, entries, now)
         if now >= self._next_resend:
             self._next_resend = now + crash_tracker_module.FULL_SYNC_PERIOD_S
@@ -272,7 +273,8 @@
             case _ if isinstance(message, messages.Message):
                 return self._receive_configuration(message, now)
             case _:
-                # For a coordinator or a gateway: sent to a wrong address.
+                # The message is for a coordinator or a gateway: it was sent to
+                # a wrong address.
                 return []
 
     def _receive_membership(
@@ -438,7 +440,7 @@
     # Status.
 
     def get_status(self, now: float) -> status.ControlStatus:
-        """Returns its status, and that of its zone while it holds the lease."""
+        """Returns its status and, as the lease holder, its zone's status."""
         is_holder = self._lease.is_held(now)
         return status.ControlStatus(
             node=self._identity.node,
--- a/src/hickorylead/roles/coordinator.py
+++ b/src/hickorylead/roles/coordinator.py
@@ -54,8 +54,8 @@
 
 TICK_S = 0.05
 INSTANCE_RETENTION_S = 60.0
-# Shortest period between two saves of backend servers, in seconds: a save takes
-# a sync, 2 ms on an ordinary disk, which blocks the event loop.
+# Shortest period between two saves of backend servers, in seconds: a save needs
+# a disk sync, which blocks the event loop for 2 ms on an ordinary disk.
 SAVE_PERIOD_S = 1.0
 
 CoordinatorEvent: TypeAlias = (
@@ -121,7 +121,7 @@
         )
         self.gateways = gateways_module.Gateways(zone=self._zone)
         self._divergence = divergence.DivergenceDetector()
-        # Public like the registry: a restart restores both from the disk.
+        # Public like the registry, as the process restores both from the disk.
         self.crashes = crash_tracker_module.CrashTracker(identity.node)
         self._saved_crash_digest = 0
         self._permit_broker = permit_broker.PermitBroker(
@@ -178,7 +178,7 @@
         return self.document.version if self.document else 0
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether the configuration here is certain to be recent."""
+        """Returns whether this node's configuration is certain to be recent."""
         if self.voter.role == "leader":
             return self.voter.is_ready_leader(now)
         return self.voter.is_caught_up and self.voter.has_leader(now)
@@ -283,13 +283,14 @@
         self, update: crash_messages.CrashNews, now: float
     ) -> list[CoordinatorEffect]:
         # A gateway that has just chosen this home coordinator may report before
-        # its hello arrives, so any sender that is no known peer counts as one.
+        # its hello arrives, so any sender that is not a known peer counts as a
+        # gateway.
         is_forwarded = update.sender in self.peers.known
         others = [] if is_forwarded else self.peers.list_alive(now)
-        # Each lost run is reported twice, and again to a new home
-        # coordinator. Only the first report of a run has the server probed: one
-        # that replied then is alive, and a repeated report needs no further
-        # probe.
+        # Each lost run is reported twice, and again to a new home coordinator.
+        # The server is probed only after the first report of a run: a server
+        # that replied to that probe is alive, and a repeated report needs no
+        # further probe.
         servers = self.crashes.list_new_servers(update)
         effects = self._send_all(self.crashes.merge(update, others, now))
         return [*effects, *self._supervisor.suspect_servers(servers, now)]
@@ -354,8 +355,9 @@
     def _bootstrap_cluster(self, now: float) -> list[CoordinatorEffect]:
         """Bootstraps the configuration log, only at the cluster's first start.
 
-        All nodes then have the same seeds. The node with the lowest address
-        waits for a hello of every other one, so that only one log is started.
+        At the first start all nodes have the same seeds. The node with the
+        lowest address starts the log once every other seed has sent a hello, so
+        that only one log is started.
         """
         seeds = self._identity.seeds
         if (
@@ -512,7 +514,8 @@
         )
         self.peers.handle_hello(hello, now)
         if hello.has_traffic:
-            # Gateways report requests only to their home coordinator.
+            # Gateways report requests only to their home coordinator, which
+            # reports them in its hellos.
             self._supervisor.record_traffic()
         effects = self._send_all(
             self.crashes.sync_coordinator(
@@ -592,7 +595,7 @@
         known = self.registry.instances.get(instance.name)
         if known is not None and instance.born < known.born:
             # A delayed heartbeat of a previous incarnation does not show that
-            # the present one is alive.
+            # the present incarnation is alive.
             return []
         self._supervisor.clear_suspicion(instance.name)
         if not self.registry.merge(instance, now):
@@ -605,9 +608,9 @@
     ) -> list[CoordinatorEffect]:
         """Records and sends to all nodes that a server loads a model.
 
-        The server's heartbeats do not report it. Without this a planner that
-        restarts, or takes over from another one, would start more loads than
-        the model store serves at full speed.
+        The server's heartbeats do not report the load. Without this record, a
+        planner that restarts or takes over from another planner would start
+        more loads than the model store serves at full speed.
         """
         known = self.registry.instances.get(answered.name)
         if (
@@ -628,7 +631,7 @@
         if known is None or known.phase == instances.PHASE_GONE:
             return []
         if born and born < known.born:
-            # Delayed report that a previous incarnation of the server ended.
+            # This is a delayed report that a previous incarnation ended.
             return []
         gone = attrs.evolve(known, phase=instances.PHASE_GONE)
         self.registry.merge(gone, now)
@@ -639,7 +642,7 @@
     ) -> list[CoordinatorEffect]:
         """Records that a server reported in a response that it is leaving.
 
-        Its heartbeats may not report this, or not arrive here.
+        The server's heartbeats may not report this, or may not arrive here.
         """
         known = self.registry.instances.get(name)
         if (
@@ -659,11 +662,11 @@
         known: instances.Instance | None,
         now: float,
     ) -> list[CoordinatorEffect]:
-        """Sends changes that this node received first to all nodes.
+        """Sends to all nodes the changes that this node was first to receive.
 
-        Other coordinators forward them to the gateways that have them as home
-        coordinator. Sending to those gateways from here as well would double
-        the updates that each gateway receives.
+        Other coordinators forward the changes to the gateways whose home
+        coordinator they are. Sending to those gateways from here as well would
+        double the updates that each gateway receives.
         """
         update = messages.InstanceNews(self._identity.node, tuple(changed))
         effects: list[CoordinatorEffect] = [
@@ -679,9 +682,9 @@
     def _add_unreported(self, changed: Iterable[instances.Instance]) -> None:
         """Queues servers for the next update of the gateways.
 
-        The state is that of the registry: a server that joined and left a
-        group between two ticks still has that group's model, which its last
-        heartbeat does not report.
+        The update contains the registry's state of each server: a server that
+        joined and left a group between two ticks still has that group's model,
+        which its last heartbeat does not report.
         """
         for instance in changed:
             known = self.registry.instances[instance.name]
@@ -726,7 +729,7 @@
         own = self.gateways.list_home_gateways(now)
         targets = [node for node in own if node != update.sender]
         if update.sender in own:
-            # From a gateway with this home coordinator: the other
+            # The update is from a gateway with this home coordinator: the other
             # coordinators have not received it.
             targets += self.peers.list_alive(now)
         forwarded = messages.StallNews(self._identity.node, update.heads)
@@ -798,7 +801,8 @@
         """Loads the configuration that the voter holds.
 
         Returns:
-            Why it could not be decoded; empty if it was, or is not newer.
+            Why the configuration could not be decoded; empty if it was decoded
+            or is not newer than the one in use.
         """
         held = self.voter.configuration
         if not held.content or held.outside_version <= self.version:
--- a/src/hickorylead/roles/entry.py
+++ b/src/hickorylead/roles/entry.py
@@ -135,9 +135,9 @@
     def is_ready(self) -> bool:
         """Returns whether callers may be sent to this entry.
 
-        Until it has a configuration that is certain to be in force and the
-        complete replica table of its zone, an entry would refuse requests
-        that other entries serve.
+        An entry refuses requests that other entries serve until it has a
+        configuration that is certain to be in force and the complete replica
+        table of its zone.
         """
         zone = self._table.zones.get(self._zone)
         return (
@@ -207,7 +207,7 @@
         return effects + self._check_stopped()
 
     def _update_blocks(self, now: float) -> list[interface.EntryEffect]:
-        """Updates which requests are blocked as too many replicas ended."""
+        """Updates the blocked requests, those that ended too many replicas."""
         effects: list[interface.EntryEffect] = []
         for _, update in self._guard.collect_messages(self._node, now):
             self._crashes.merge(update, (), now)
@@ -225,10 +225,10 @@
         return [*effects, *written, *self._report_crashes(now)]
 
     def _report_crashes(self, now: float) -> list[interface.EntryEffect]:
-        """Reports under which requests replicas ended, at once and repeatedly.
+        """Reports requests during which replicas ended, at once and again.
 
         Control processes keep these reports in memory only. Repeated evidence
-        lets one that restarted block the same requests again.
+        lets a restarted control process block the same requests again.
         """
         effects: list[interface.EntryEffect] = []
         if self._crashes.digest != self._reported_digest:
@@ -274,7 +274,8 @@
         )
         own = self._table.zones.get(self._zone)
         if own is None or now - own.last_update_at > HOLDER_TIMEOUT_S:
-            # Another process may hold the lease now: send to all of them.
+            # Another control process may hold the lease now, so digests are
+            # sent to all control processes of the zone.
             self._holder = ""
         if own is None or not own.complete:
             return self._request_table(self._zone)
@@ -332,7 +333,8 @@
             case status.ExplainReply():
                 return self._operations.handle_explanation(message)
             case _:
-                # For a control process: a wrong address in the settings.
+                # The message is for a control process: an address in the
+                # settings is wrong.
                 return []
 
     def _check_stopped(self) -> list[interface.EntryEffect]:
--- a/src/hickorylead/roles/gateway.py
+++ b/src/hickorylead/roles/gateway.py
@@ -43,38 +43,41 @@
 
     from hickorylead.configuration import document as document_module
 
-# Shortest and longest time between two ticks with requests, and without any, in
-# seconds. A request that starts to wait for a replica is examined in the next
-# tick; it waits 0.12 s at most where the objective is 0.3 s.
+# Shortest and longest time between two ticks while requests are pending, and
+# time between two ticks without requests, in seconds. A request that starts to
+# wait for a replica is examined in the next tick; it waits at most 0.12 s if
+# its objective is 0.3 s.
 TICK_S = 0.02
 LONGEST_TICK_S = 0.05
 IDLE_TICK_S = 0.1
 HELLO_PERIOD_S = 0.25
-# Without requests a hello rarely carries anything new.
+# Period between hellos without requests, in seconds: a hello then rarely
+# carries anything new.
 IDLE_HELLO_PERIOD_S = 0.5
 # Period between hellos to coordinators other than the home coordinator, in
-# seconds: with six of them and 71 gateways, a hello and its reply each second
-# were a third of all messages. A gateway that lost its home coordinator sends
-# hellos to all of them at once.
+# seconds: with six coordinators and 71 gateways, a hello and its reply each
+# second were a third of all messages. A gateway that lost its home coordinator
+# sends hellos to all coordinators at once.
 OTHER_COORDINATOR_HELLO_PERIOD_S = 8.0
-# Period between these hellos, in seconds, while the home coordinator has no
-# leader or a replica of another zone is stalled: changes must arrive within
-# 2 s.
+# Period between hellos to the other coordinators, in seconds, while the home
+# coordinator has no leader or a replica of another zone is stalled: changes
+# must arrive within 2 s.
 OTHER_COORDINATOR_HELLO_URGENT_PERIOD_S = 0.5
-# A coordinator without a message for this time, in seconds, is not used as home
-# coordinator. It sends the loads of its zone every 0.25 s, but may block on its
-# disk between two of them.
+# Time without a message after which a coordinator is not used as home
+# coordinator, in seconds. A coordinator sends the loads of its zone every
+# 0.25 s, but may block on its disk between two such messages.
 HOME_COORDINATOR_TIMEOUT_S = 1.2
-# A home coordinator without a leader for this time, in seconds, is replaced by
-# one that has a leader. It is partitioned from the others and receives neither
-# their updates nor a new configuration. After the loss of a leader the next one
-# is elected in about a second.
+# Time without a leader after which a home coordinator is replaced by a
+# coordinator that has a leader, in seconds. A coordinator without a leader is
+# partitioned from the others and receives neither their updates nor a new
+# configuration. After the loss of a leader the next one is elected in about a
+# second.
 HOME_COORDINATOR_STALE_TIMEOUT_S = 1.2
-# At its start a gateway applies a configuration from a coordinator that may be
-# behind only after this time, in seconds: one that is up to date replies
-# sooner.
+# Time from its start after which a gateway applies a configuration from a
+# coordinator that may be behind, in seconds: a coordinator that is up to date
+# replies sooner.
 STALE_WAIT_S = 1.2
-# A working replica sends output at least this often, in seconds.
+# Time within which a working replica sends output again, in seconds.
 PROGRESS_WINDOW_S = 0.4
 INSTANCE_RETENTION_S = 60.0
 CLEANUP_PERIOD_S = 5.0
@@ -172,8 +175,8 @@
         self._reported_stalled: set[str] = set()
         self._next_other_hello = now
         self._home_coordinator = ""
-        # Which coordinators have a leader, as they last reported; since when
-        # the home coordinator has none.
+        # Whether each coordinator last reported that it has a leader, and the
+        # time since which the home coordinator has had no leader.
         self._freshness: dict[str, bool] = {}
         self._home_coordinator_stale_since: float | None = None
         self._stopping = False
@@ -257,7 +260,8 @@
             case _:
                 effects = [*self._forwarder.handle(event, now)]
                 if self._permits.has_urgent_demand:
-                    # A request waits for permits: the next tick is too late.
+                    # A request waits for permits: the next tick is too late to
+                    # request them.
                     home_coordinator = self._find_home_coordinator(now)
                     return [
                         *effects,
@@ -283,8 +287,8 @@
         ]
         if home_coordinator and now >= self._next_faulty_servers:
             effects += self._report_faulty_servers(home_coordinator, now)
-        # A change of the home coordinator sends hellos at once: until then no
-        # coordinator sends updates to this gateway.
+        # After a change of its home coordinator, the gateway sends hellos at
+        # once: before that no coordinator sends updates to this gateway.
         if (
             now >= self._next_hello
             or new_stalled
@@ -348,9 +352,9 @@
         self, home_coordinator: str, now: float
     ) -> list[GatewayEffect]:
         known = set(self._coordinators.values())
-        # A coordinator that only others have reported is sent hellos by its
-        # address: connections resolve a node name only from that node's own
-        # messages.
+        # A coordinator that only other coordinators have reported gets hellos
+        # at its address: connections resolve a node name only from that node's
+        # own messages.
         targets = [
             *(
                 node if node in self._last_received_at else f"@{address}"
@@ -482,7 +486,8 @@
                 return [*self._forwarder.handle_reported_stalls(heads, now)]
             case messages.KnownCoordinators(_, names, addresses, is_fresh):
                 self._record_freshness(sender, is_fresh, now)
-                # A coordinator that has just started lists few others yet.
+                # A coordinator that has just started lists only a few others,
+                # so the coordinators that are alive stay in the list.
                 alive = {
                     node: address
                     for node, address in self._coordinators.items()
@@ -510,8 +515,8 @@
     ) -> list[GatewayEffect]:
         before = self.document.version if self.document else 0
         if update.version <= before:
-            # Delayed, or from a coordinator that is behind: an older version
-            # would restore a replaced route or a revoked key.
+            # The update is delayed, or from a coordinator that is behind: an
+            # older version would restore a replaced route or a revoked key.
             return []
         match self._decode_document(update.content):
             case result.Success(document):
--- a/src/hickorylead/roles/operations.py
+++ b/src/hickorylead/roles/operations.py
@@ -22,8 +22,8 @@
 
 RESEND_PERIOD_S = 1.0
 CHANGE_TIMEOUT_S = 6.0
-# A change that no process could accept for lack of a known leader is refused
-# after this time: an election of a new leader takes about as long.
+# Time after which a change is refused if no process could accept it for lack of
+# a known leader, in seconds: the election of a new leader takes about as long.
 NO_LEADER_TIMEOUT_S = 5.0
 STATUS_TIMEOUT_S = 1.0
 BOOTSTRAP_TIMEOUT_S = 5.0
@@ -43,7 +43,7 @@
 
     @property
     def may_apply(self) -> bool:
-        """Whether a process may have accepted it without a reply."""
+        """Whether a process may have accepted the change without a reply."""
         return self.lost or any(self.unanswered.values())
 
 
@@ -70,7 +70,7 @@
         follower: follower.Follower,
         histories: history.HistoryStore,
     ) -> None:
-        """Initializes it without pending requests.
+        """Initializes the state without pending requests.
 
         Args:
             node: Node name of this entry.
@@ -115,7 +115,7 @@
     def submit(
         self, change: changes.Change, now: float
     ) -> list[interface.EntryEffect]:
-        """Handles a change; a resubmission joins the pending one."""
+        """Handles a change; a resubmission joins the pending change."""
         if change.change_id in self._changes:
             return []
         needs_validation = isinstance(
@@ -127,7 +127,7 @@
         self._changes[change.change_id] = pending
         if needs_validation:
             # Only the control processes of a zone have the sizes of its fabric
-            # domains.
+            # domains, so the change is validated against their status.
             return self._query_status(
                 _make_validation_token(change.change_id), now
             )
@@ -317,7 +317,7 @@
     ) -> list[interface.EntryEffect]:
         """Forwards the pending bootstrap requests to a control process.
 
-        It is the first one that replies that it has a data folder.
+        The recipient is the first one that replies that it has a data folder.
         """
         if not reply.member:
             return []
--- a/src/hickorylead/roles/status.py
+++ b/src/hickorylead/roles/status.py
@@ -16,7 +16,7 @@
         service: Service that it runs.
         domain: Fabric domain.
         state: forming, serving, broken or draining.
-        vms: VMs by rank; an empty name where one is lost.
+        vms: VMs by rank; an empty name where a VM is lost.
     """
 
     name: str
@@ -55,11 +55,12 @@
         leader: Control process that it considers the leader of the log.
         is_leader: Whether it leads the log and has a majority.
         is_holder: Whether it holds the zone lease.
-        fence: Fencing number of the lease, if it holds it.
+        fence: Fencing number of the lease, if the process holds the lease.
         members: Backend servers present.
         largest_domain: VMs of the largest fabric domain.
         stranded: Healthy VMs in no serving group.
-        downtime_s: Replica seconds lost so far, while it held the lease.
+        downtime_s: Replica seconds lost so far, while the process held the
+            lease.
         services: Wanted and serving replicas of each service.
         groups: All groups.
         entries: All entries that it receives messages from.
@@ -119,10 +120,10 @@
 
 @attrs.frozen
 class ExplainReply:
-    """Reply to an explain request; not `found` without a stored history.
+    """Reply to an explain request; `found` is false if no history is stored.
 
-    It is sent back through the control process that forwarded the request:
-    the two entries do not know each other's addresses.
+    The reply is sent back through the control process that forwarded the
+    request: the two entries do not know each other's addresses.
     """
 
     token: str
--- a/src/hickorylead/roles/zone_controller.py
+++ b/src/hickorylead/roles/zone_controller.py
@@ -33,9 +33,9 @@
 PLAN_PERIOD_S = 0.5
 # Period between two plans while nothing has changed and no work is in progress.
 SETTLED_PERIOD_S = 5.0
-# After this time without an update of another zone's table its replicas are not
-# offered: the zone is partitioned from this one, and so probably are its
-# replicas.
+# Time without an update of another zone's table after which that zone's
+# replicas are not offered, in seconds: the zone is partitioned from this one,
+# and so probably are its replicas.
 REMOTE_TABLE_TIMEOUT_S = 10.0
 REMOTE_HOLDER_TIMEOUT_S = 3.0
 
@@ -53,7 +53,7 @@
         policy: planner_module.Policy,
         now: float,
     ) -> None:
-        """Initializes it for a process that does not hold the lease yet.
+        """Initializes the state of a process that does not hold the lease yet.
 
         Args:
             node: Node name of this control process.
@@ -109,7 +109,8 @@
             self._adopted_fence = 0
             return []
         if not self._adopted_fence:
-            # The state from when this process last held the lease is stale.
+            # The planner's state from when this process last held the lease is
+            # stale.
             self._planner.adopt(self._registry.members)
             self._planned_at = self._downtime_counted_at = now
             self._planned_state = None
@@ -186,7 +187,8 @@
             case messages.TableRequest(node, zone):
                 return self._send_table(node, zone, now)
             case messages.Withdrawal(zone):
-                # The entries of the sender's zone have received it already.
+                # The entries of the sender's zone have received the withdrawal
+                # already.
                 return [
                     messages.Send(entry, message)
                     for entry in sorted(self._registry.entries)
@@ -194,10 +196,10 @@
                 ]
 
     def withdraw(self, state: announcements.ServerState) -> list[messages.Send]:
-        """Notifies all nodes at once that a group has a leaving VM.
+        """Notifies entries and other zones at once of a group's leaving VM.
 
-        This does not wait for the lease holder, which may be lost at this
-        moment: to stop sending requests to a group needs no agreement.
+        The notification does not wait for the lease holder, which may be lost
+        at this moment: to stop sending requests to a group needs no agreement.
         """
         key = (state.vm, state.boot, state.group)
         if not state.group or key in self._withdrawn:
@@ -281,8 +283,8 @@
         """Returns the recipients in other zones: their lease holders, if known.
 
         A process that takes over the lease of another zone sends its own
-        table, which makes it known here, and requests the updates that it has
-        missed.
+        table, which makes that process known here, and requests the updates
+        that it has missed.
         """
         recipients = []
         for node in self._other_zone_controls:
--- a/tests/claims/claims.feature
+++ b/tests/claims/claims.feature
@@ -7,7 +7,7 @@
     Given a deployment in three zones
     When one key is sent to all entries at once
     And 5 s pass
-    Then the servers ran it once and one caller has the response
+    Then the servers ran the request once and one caller has the response
 
   Scenario: A resend through another zone gets the first response
     The response is lost on its way to the caller, who sends the request again
@@ -18,7 +18,7 @@
     And 2 s pass
     Then the resend gets the first response, marked as replayed
 
-  Scenario: The entry is killed before the backend responds
+  Scenario: A resend is refused if the entry was killed before the backend responded
     An entry is killed before it has the response to a request that it sent. A
     resend must be refused as may_have_run, because the key is still claimed.
     Given a deployment in three zones
@@ -27,9 +27,9 @@
     And 2 s pass
     Then the resend is refused as may_have_run, and the request ran once
 
-  Scenario: The entry is killed right after the backend responded
+  Scenario: A resend gets the stored response after the entry was killed
     The response reached the entry and the claim holders, but not the caller.
-    The resend gets it from the holders.
+    The resend gets the response from the claim holders.
     Given a deployment in three zones
     When the entry is killed right after its request was answered
     And the same key is sent through another entry
@@ -55,7 +55,7 @@
     And 2 s pass
     Then the call is refused as may_have_run with code "key_too_old"
 
-  Scenario: Holders that restarted do not grant a claim that they lost
+  Scenario: Claim holders that restarted do not grant a claim that they lost
     A request runs. Two of the three claim holders restart and lose the claim.
     The key is older than their restart, so they must not grant it again.
     Given a deployment in three zones
@@ -64,7 +64,7 @@
     And 3 s pass
     And the same key is sent through "csepel-hall"
     And 2 s pass
-    Then the servers ran it once
+    Then the servers ran the request once
 
   Scenario: A request runs once although clocks differ by minutes
     The clock of a claim holder's VM jumps by five minutes, more than the
@@ -74,7 +74,7 @@
     And a request with a key has run through "buda-hall"
     And the same key is sent through "csepel-hall"
     And 2 s pass
-    Then the servers ran it once
+    Then the servers ran the request once
 
   Scenario: The claim of a request that has certainly not run is released
     The only servers refuse the connection. The request is refused as not run.
@@ -82,17 +82,17 @@
     Given a deployment in three zones
     When no plain server can be reached and a key is sent
     And the servers are back and the same key is sent again
-    Then the first was refused as not run and the second ran
+    Then the first request was refused as not run and the second one ran
 
   Scenario: A full claim holder drops response bodies but no unexpired claim
     A holder receives more claims and larger responses than it may store. It
     drops the oldest response bodies and refuses new claims when it is full,
     because dropping an unexpired claim could let its request run twice.
     Given a holder that receives 25000 claims with responses of 1000 bytes
-    Then it stores 20000 claims and at most 2 MiB of responses
-    And each claim that it granted is still stored
+    Then the holder stores 20000 claims and at most 2 MiB of responses
+    And each claim that the holder granted is still stored
 
-  Scenario: One key for two different requests is refused
+  Scenario: A second, different request with the same key is refused
     A key is used again with another body. Replaying the first response would
     give the caller the response to another request.
     Given a deployment in three zones
@@ -101,8 +101,8 @@
     And 2 s pass
     Then the call is refused as not_run with code "key_reused"
 
-  Scenario Outline: A key must contain its time
-    A key without its time could be older than the retention of claims, and no
+  Scenario Outline: An idempotency key must contain the time of its creation
+    A key without this time could be older than the retention of claims, and no
     holder could detect that.
     Then the key "<key>" is <read>
 
--- a/tests/consensus/voter.feature
+++ b/tests/consensus/voter.feature
@@ -5,10 +5,10 @@
     once. The log orders them: the first is accepted, and the second is refused
     with the winning version, because the version that it expects is outdated.
     Given a deployment in three zones
-    When two operators in two zones change the configuration from one version
+    When two operators in two zones submit changes based on the same version
     Then one change is accepted and the other refused with the winning version
 
-  Scenario: A resend to a new leader gets the first outcome
+  Scenario: A change sent again to a new leader gets its first outcome
     A change is accepted, the response is lost and the leader is killed. The
     resend reaches the next leader. It must neither take effect twice nor be
     refused as a conflict with itself, so the log contains the change ids.
@@ -23,7 +23,7 @@
     refused while other zones accept them.
     Given a deployment in three zones
     When the leader is killed
-    Then a change submitted in its zone is accepted within 20 s
+    Then a change submitted in the leader's zone is accepted within 20 s
 
   Scenario: A zone without a majority refuses changes at once
     A zone is isolated, so no process there has a leader with a majority. A
@@ -44,7 +44,7 @@
     two different configurations under one version number.
     Given a deployment in three zones
     When the leader is partitioned from all others
-    Then no two processes lead at once, and a new one leads within 10 s
+    Then no two processes lead at once, and a new leader leads within 10 s
     And a change submitted to the majority side is in force there within 8 s
 
   Scenario: A voter that was partitioned for long does not depose the leader
@@ -56,13 +56,14 @@
 
   Scenario: A voter that lost its disk returns as a new member
     A voter loses its disk and restarts empty. If it voted as the old member,
-    it could revoke what it acknowledged. It is removed and joins as a new
-    member; after that the next voter may lose its disk.
+    it could revoke what that member acknowledged. The old member is removed,
+    the voter joins as a new member; after that the next voter may lose its
+    disk.
     Given a deployment in three zones
     When each voter loses its disk, one after another
     Then every accepted change is still in force
 
-  Scenario: No change is lost while one voter of three keeps its disk
+  Scenario: No change is lost if one of three voters keeps its disk
     Two voters lose their disks at once. The third voter has all changes, but
     no majority, so it must not lead: it cannot determine what is committed.
     Given a deployment in three zones
@@ -71,12 +72,13 @@
     Then no process leads and the version in force is as before
     And the entries continue to serve requests
 
-  Scenario: A voter more than 500 changes behind gets one snapshot
-    A voter is stopped while 600 changes are accepted. It gets one snapshot
-    instead of the entries that the others have dropped in the meantime.
+  Scenario: A voter that is more than 500 changes behind gets a single snapshot
+    A voter is stopped while 600 changes are accepted. After its start it gets
+    one snapshot instead of the entries that the others have dropped in the
+    meantime.
     Given a deployment in three zones
     When a voter is stopped during 600 changes
-    Then it has all of them within 5 s of its start, from one snapshot
+    Then the voter has all changes within 5 s of its start, from one snapshot
 
   Scenario: A change is in force everywhere within 8 s
     A change is accepted while one message in ten is lost. Every connected
@@ -84,7 +86,7 @@
     Given a deployment in three zones
     When one message in ten is lost
     And a change is accepted
-    Then all processes apply it within 8 s
+    Then all processes apply the change within 8 s
 
   Scenario: A restarted entry never serves an older version
     The control processes of an isolated zone hold different versions. An
@@ -93,7 +95,7 @@
     Given a deployment in three zones
     When two control processes of "buda-hall" get a change before its isolation
     And an entry of "buda-hall" restarts
-    Then it is not ready before it has the version that was in force
+    Then the entry is not ready before it has the version that was in force
 
   Scenario: Acknowledged changes survive the restart of all voters
     All processes of all zones end at once, as in a power failure, right after
--- a/tests/membership/presence.feature
+++ b/tests/membership/presence.feature
@@ -1,16 +1,17 @@
 Feature: Which backend servers are present
 
-  Scenario: The servers of an entry that dies are not treated as lost
+  Scenario: Servers that announce to an entry that dies are not treated as lost
     The entry that receives a server's announcements dies, and the server
-    announces to the next one. In the meantime it is neither present nor lost,
-    so no group is repaired and no request in flight at other entries aborted.
+    announces to the next entry. In the meantime the server is neither present
+    nor lost, so no group is repaired and no request in flight at other entries
+    aborted.
     Given a deployment in three zones
     When the entries of "buda-hall" are killed and restarted, one after another
     Then no group of "buda-hall" was rebuilt
 
   Scenario: A server that is paused briefly is not treated as lost
-    A server is paused for 2 s and keeps its group. Another one is paused for
-    30 s: its group is repaired without it, and when it continues and still
+    A server is paused for 2 s and keeps its group. Another server is paused
+    for 30 s: its group is repaired without it, and when it continues and still
     announces its old rank, it is freed.
     Given a deployment in three zones
     When a member of "buda-hall" is paused for 2 s
@@ -21,7 +22,7 @@
     When 40 s pass
     Then the paused member is in no group that was rebuilt without it
 
-  Scenario: The digest reveals lost reports
+  Scenario: The digest of an entry reveals lost reports of its servers
     Reports of new and lost servers are dropped by the network. The digest that
     each entry sends then does not match the states at the control process,
     which requests all of them again.
@@ -32,7 +33,7 @@
 
   Scenario: A server that is leaving gets no new requests
     A server announces that it is leaving while requests run on it. Within 4 s
-    its group gets no new requests, the running ones complete, and then the
+    its group gets no new requests, the running requests complete, and then the
     server is free.
     Given a deployment in three zones
     When requests run and a server of "buda-hall" announces that it is leaving
--- a/tests/roles/random_faults.feature
+++ b/tests/roles/random_faults.feature
@@ -7,7 +7,7 @@
     has a response.
     Then generated faults violate no invariant, in 12 runs of up to 5 faults
 
-  Scenario Outline: Fault sequences that once led to a violated invariant no longer do
+  Scenario Outline: Fault sequences that once violated an invariant violate none now
     These sequences of faults revealed defects, which have been corrected.
     Then the faults of seed <seed> violate no invariant
 
--- a/tests/sessions/sessions.feature
+++ b/tests/sessions/sessions.feature
@@ -1,9 +1,9 @@
 @processes
 Feature: Sessions as recorded by callers, operators and backend servers
 
-  Each session is recorded at all three and compared with a golden file; ids,
-  times and ports are replaced by names. `behave -D golden=write
-  tests/sessions` rewrites the golden files.
+  Callers, operators and backend servers each record the session, and the
+  record is compared with a golden file; ids, times and ports are replaced by
+  names. `behave -D golden=write tests/sessions` rewrites the golden files.
 
   Scenario: Operators change presets while callers send requests
     An operator lists services and presets, has a change refused because of its
--- a/tests/settings/settings.feature
+++ b/tests/settings/settings.feature
@@ -19,20 +19,20 @@
       | seconds; default: 30         |
       | required; HICKORYLEAD_ZONE   |
 
-  Scenario: An operator's command without an entry reports it as missing
+  Scenario: An operator's command reports a missing entry URL and token
     When "status" is run without environment variables
     Then the exit code is 2 and the output contains each of
       | text                |
       | HICKORYLEAD_ENTRY   |
       | HICKORYLEAD_OPERATOR_TOKEN |
 
-  Scenario: The command has a separate exit code for an entry that does not respond
+  Scenario: An operator's command has a separate exit code if the entry does not respond
     When "status --entry http://127.0.0.1:9 --token some-token" is run without environment variables
     Then the exit code is 5 and the output contains each of
       | text            |
       | does not answer |
 
-  Scenario: A flag overrides a variable
+  Scenario: A flag overrides an environment variable
     Then the flag of an option overrides its variable, and both override the default
 
   Scenario: An error never contains a token
--- a/tests/steps/claims_steps.py
+++ b/tests/steps/claims_steps.py
@@ -39,7 +39,7 @@
     ]
 
 
-@then("the servers ran it once and one caller has the response")
+@then("the servers ran the request once and one caller has the response")
 def _(context):
     assert context.simulation.key_runs[KEY] == 1
     verdicts = [a.verdict for a in context.answers]
@@ -143,7 +143,7 @@
             context.simulation.start(node)
 
 
-@then("the servers ran it once")
+@then("the servers ran the request once")
 def _(context):
     assert context.simulation.key_runs[KEY] == 1
     assert context.last.verdict != Verdict.NOT_RUN or (
@@ -179,7 +179,7 @@
     simulation.run(3)
 
 
-@then("the first was refused as not run and the second ran")
+@then("the first request was refused as not run and the second one ran")
 def _(context):
     assert context.first.verdict == Verdict.NOT_RUN, context.first.final_effect
     assert context.second.verdict == Verdict.RAN, context.second.final_effect
@@ -221,7 +221,7 @@
             context.holder.receive(finish, 5000.0)
 
 
-@then("it stores {count:d} claims and at most {mib:d} MiB of responses")
+@then("the holder stores {count:d} claims and at most {mib:d} MiB of responses")
 def _(context, count, mib):
     assert len(context.holder) == count == len(context.granted)
     context.replies = [
@@ -232,7 +232,7 @@
     assert 0 < stored_bytes <= mib * 1024 * 1024, stored_bytes
 
 
-@then("each claim that it granted is still stored")
+@then("each claim that the holder granted is still stored")
 def _(context):
     states = {reply.state for reply in context.replies}
     assert states == {messages.FINISHED}, states
--- a/tests/steps/consensus_steps.py
+++ b/tests/steps/consensus_steps.py
@@ -29,7 +29,7 @@
     )
 
 
-@when("two operators in two zones change the configuration from one version")
+@when("two operators in two zones submit changes based on the same version")
 def _(context):
     simulation = context.simulation
     expected = get_version(simulation, simulation.controls[0])
@@ -139,7 +139,9 @@
             simulation.partition(context.old, other)
 
 
-@then("no two processes lead at once, and a new one leads within {seconds:g} s")
+@then(
+    "no two processes lead at once, and a new leader leads within {seconds:g} s"
+)
 def _(context, seconds):
     simulation = context.simulation
 
@@ -272,7 +274,10 @@
         )
 
 
-@then("it has all of them within {seconds:g} s of its start, from one snapshot")
+@then(
+    "the voter has all changes within {seconds:g} s of its start, from one"
+    " snapshot"
+)
 def _(context, seconds):
     simulation = context.simulation
     before = simulation.sent["SnapshotRequest"]
@@ -297,7 +302,7 @@
     context.version = operator_actions.apply(context.simulation, SWITCH)
 
 
-@then("all processes apply it within {seconds:g} s")
+@then("all processes apply the change within {seconds:g} s")
 def _(context, seconds):
     context.took_s = wait_for_version(
         context.simulation, context.version, seconds
@@ -336,7 +341,7 @@
     simulation.start(context.node)
 
 
-@then("it is not ready before it has the version that was in force")
+@then("the entry is not ready before it has the version that was in force")
 def _(context):
     simulation = context.simulation
     role = simulation.roles[context.node]
@@ -374,7 +379,9 @@
     context.simulation.kill(context.killed)
 
 
-@then("a change submitted in its zone is accepted within {seconds:g} s")
+@then(
+    "a change submitted in the leader's zone is accepted within {seconds:g} s"
+)
 def _(context, seconds):
     simulation = context.simulation
     zone = nodes.get_zone(context.killed)
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -66,7 +66,7 @@
     simulation.run(1.0)
 
 
-@then("all three are acknowledged")
+@then("all three versions are acknowledged")
 def _(context):
     outcomes = [context.simulation.outcomes.get(t) for t in context.tokens]
     assert outcomes == [True] * 3, outcomes
@@ -97,7 +97,7 @@
     simulation.run(1.0)
 
 
-@then("it is acknowledged")
+@then("the request with different content is acknowledged")
 def _(context):
     assert context.simulation.outcomes.get("again") is True
 
@@ -173,7 +173,9 @@
     assert simulation.outcomes[token] is None, simulation.outcomes[token]
 
 
-@when("the leader is frozen while version 8 is acknowledged, and then read")
+@when(
+    "a read reaches the leader that was frozen while version 8 was acknowledged"
+)
 def _(context):
     simulation = context.simulation
     old = simulation.find_leader()
@@ -288,7 +290,7 @@
     simulation.run_until(has_replaced, 20.0)
 
 
-@then("changes are still acknowledged with one of them lost")
+@then("changes are still acknowledged after the loss of one voter")
 def _(context):
     simulation = context.simulation
     lost, other, *_ = sorted(context.expected)
@@ -317,7 +319,7 @@
     context.gateway = simulation.gateways[node]
 
 
-@then("the first version it holds is the newest")
+@then("the first version that the gateway holds is the newest")
 def _(context):
     simulation, gateway = context.simulation, context.gateway
     simulation.run_until(lambda: gateway.document is not None, 3.0)
@@ -972,7 +974,10 @@
     simulation.unfreeze(context.removed_node)
 
 
-@then("it votes again and holds the newest version within {limit:g} seconds")
+@then(
+    "the coordinator votes again with the newest version within {limit:g}"
+    " seconds"
+)
 def _(context, limit):
     simulation = context.simulation
     role = simulation.coordinators[context.removed_node]
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -73,7 +73,8 @@
 
 
 @then(
-    "within {seconds:g} s one process holds a fencing number above the old one"
+    "within {seconds:g} s one process holds a fencing number above the previous"
+    " one"
 )
 def _(context, seconds):
     simulation = context.simulation
@@ -112,7 +113,7 @@
     context.simulation.kill(get_holder(context.simulation, zone))
 
 
-@then('no order has been issued in "{zone}" since')
+@then('no order is issued in "{zone}" after the kill')
 def _(context, zone):
     get_holder(context.simulation, zone)
     issued = [
@@ -198,7 +199,7 @@
     )
 
 
-@then("it refuses that order")
+@then("the server refuses the order with the lower number")
 def _(context):
     before = context.server.state
     assert context.server.member.apply_order(context.old_order) == "old_fence"
