--- a/src/hickorylead/notes.py
+++ b/src/hickorylead/notes.py
@@ -15,7 +15,7 @@
 
     Attributes:
         event: Stable name of the decision; docs/reference/logs.md lists them.
-        request_id: The request that it is about; empty if there is none.
+        request_id: Request that the decision is about; empty if none.
         fields: Inputs of the decision, their age or version, the outcome.
         level: Lines of lower levels are dropped first when there are too many.
     """
@@ -27,5 +27,5 @@
 
 
 def note(event: str, *, level: Level = "info", **fields: Any) -> Note:
-    """Returns a note about a decision that is not about one request."""
+    """Returns a note about a decision that concerns no single request."""
     return Note(event, fields=fields, level=level)
--- a/src/hickorylead/platform/__main__.py
+++ b/src/hickorylead/platform/__main__.py
@@ -5,9 +5,9 @@
 import gc
 import sys
 
-# Imported objects live as long as the process. Collecting garbage during the
-# imports takes a tenth of the start-up time, and after a power loss callers
-# wait for the start.
+# Garbage collection is off during the imports, since imported objects live as
+# long as the process. It would take a tenth of the start-up time, and after a
+# power loss callers wait for the start.
 gc.disable()
 
 from hickorylead.platform import program  # noqa: E402
--- a/src/hickorylead/platform/documents.py
+++ b/src/hickorylead/platform/documents.py
@@ -131,7 +131,7 @@
         kv_cache_tokens=int(fields.get("KvCapacityTokens", 0)),
         decode_step_s=float(fields["step_ms"]) * _MS,
         decode_step_per_request_s=float(fields.get("per_seq_ms", 0.0)) * _MS,
-        # In milliseconds per 1,000 tokens of context.
+        # `context_per_k` is in milliseconds per 1,000 tokens of context.
         decode_step_per_context_token_s=float(fields.get("context_per_k", 0.0))
         * _MS
         / 1000,
--- a/src/hickorylead/platform/headers.py
+++ b/src/hickorylead/platform/headers.py
@@ -160,7 +160,8 @@
             else None,
             is_leaving=fields.get(_LEAVING, b"0") not in (b"", b"0"),
             malformed_headers=tuple(malformed),
-            # A 421 names the server that has the address; it is not at fault.
+            # Status 421 names the server that has the address now; that server
+            # is not at fault.
             faulty_server=fields.get(_FAULTY_SERVER, b"").decode("latin-1")
             if status == 503
             else "",
--- a/src/hickorylead/platform/program.py
+++ b/src/hickorylead/platform/program.py
@@ -30,8 +30,8 @@
         settings = settings_module.load_settings(arguments[0])
         listening_socket = None
         if arguments[0] == "gateway":
-            # The imports take a second on a small VM. With the socket open,
-            # callers that connect meanwhile wait; otherwise they would be
+            # The imports take a second on a small VM. If the socket is already
+            # open, callers that connect meanwhile wait; otherwise they would be
             # refused twice.
             listening_socket = sockets.listen(
                 settings.listen_ip, settings.caller_port
--- a/src/hickorylead/platform/servers.py
+++ b/src/hickorylead/platform/servers.py
@@ -36,9 +36,9 @@
 ) -> result.Result[instances.Instance, str]:
     """Returns the server that a heartbeat describes, or why it is invalid.
 
-    Heartbeats may come from other programs. One with a missing field, a field
-    of the wrong type or an unknown state is rejected completely, because its
-    other fields can't be trusted either.
+    Heartbeats may come from other programs. A heartbeat with a missing field, a
+    field of the wrong type or an unknown state is rejected completely, because
+    its other fields can't be trusted either.
 
     Args:
         name: Id of the server, from the request path.
@@ -55,7 +55,8 @@
                 domain=values.expect_string(fields.get("Domain") or ""),
                 slots=max(1, values.expect_integer(fields.get("Slots", 1))),
                 phase=_PHASES[values.expect_string(fields["State"])],
-                # In heartbeats this counts heartbeats; in reports, orders.
+                # `Sequence` counts heartbeats in a heartbeat, and orders in a
+                # report.
                 sequence=values.expect_integer(fields["Sequence"]),
                 models=_decode_names(fields.get("Models")),
                 staged=_decode_names(fields.get("Staged")),
--- a/src/hickorylead/platform/settings.py
+++ b/src/hickorylead/platform/settings.py
@@ -17,8 +17,9 @@
 _T = TypeVar("_T")
 
 PATH_VARIABLE = "HICKORYLEAD_NODE_FILE"
-# Behind address translation, others reach a process at an address that is not
-# its own. This variable holds its own address, from which it listens and calls.
+# Behind address translation, other nodes reach a process at an address that is
+# not its own. This variable holds the process's own address, on which it
+# listens and from which it connects.
 BIND_VARIABLE = "HICKORYLEAD_BIND_IP"
 
 
--- a/src/hickorylead/runtime/backends.py
+++ b/src/hickorylead/runtime/backends.py
@@ -47,9 +47,9 @@
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30),
             read_bufsize=MAX_LINE_BYTES,
         )
-        # A pooled connection may have been closed by the server, or dropped
-        # by a middlebox, in the meantime; it is then unknown whether the call
-        # ran. Calls that may run only once, and streams that are attached to
+        # In the meantime, the server may have closed a pooled connection, or a
+        # middlebox may have dropped it; it is then unknown whether the call
+        # ran. Calls that may run only once, and calls that attach to a stream
         # again, use a new connection.
         self._fresh = aiohttp.ClientSession(
             timeout=timeout,
@@ -93,7 +93,8 @@
             ):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # The server has ended, or it notices the closed connection.
+            # Either the server has ended, or it notices that the connection is
+            # closed.
             pass
 
     async def _run(self, attempt: events.StartAttempt) -> None:
@@ -216,7 +217,7 @@
     """Returns the failure of an attempt that the server refused.
 
     Only a refusal that carries the server's own VM name proves that the
-    attempt did not run: a proxy in between could have produced any other one.
+    attempt did not run: any other refusal could come from a proxy in between.
     """
     body = await response.content.read(MAX_LINE_BYTES)
     try:
--- a/src/hickorylead/runtime/calls.py
+++ b/src/hickorylead/runtime/calls.py
@@ -12,7 +12,8 @@
     from hickorylead.fleet import server_codec as server_codec_module
     from hickorylead.runtime import upstream
 
-# Responses to orders and probes have a few hundred bytes.
+# Maximum size of a response, in bytes. Responses to orders and probes have a
+# few hundred bytes.
 MAX_RESPONSE_BYTES = 256 * 1024
 
 
--- a/src/hickorylead/runtime/chat.py
+++ b/src/hickorylead/runtime/chat.py
@@ -15,7 +15,8 @@
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 1_000_000
 MAX_PREFIXES = 16
-# A prompt of one message has no message boundary, but its beginning may still
+# Number of characters at the beginning of a prompt of one message that count as
+# its prefix. Such a prompt has no message boundary, but its beginning may still
 # be shared with other prompts.
 FIRST_PREFIX_CHARACTERS = 256
 CHARACTERS_PER_TOKEN = 4
--- a/src/hickorylead/runtime/control.py
+++ b/src/hickorylead/runtime/control.py
@@ -134,9 +134,9 @@
                 assert self.role.voter is not None
                 self._folder.rewrite(self.role.voter.export_records())
         except OSError as error:
-            # The reducer's state now differs from the disk. If it continued
-            # it could acknowledge a change that is lost at a restart, so no
-            # further effect is carried out and the process ends.
+            # The reducer's state now differs from the disk. If the process
+            # continued, it could acknowledge a change that is lost at a
+            # restart, so no further effect is carried out and the process ends.
             self._disk_error = error
             self._stop.set()
             self.log.error("disk failed", detail=str(error))
@@ -147,8 +147,8 @@
                 self._peers.send(node, message)
             case consensus_messages.Persist(record):
                 assert self._folder is not None
-                # This blocks the event loop on the disk: a reply may only be
-                # sent after the sync, and changes are rare.
+                # The write blocks the event loop: a reply may only be sent
+                # after the sync, and changes are rare.
                 self._folder.persist(record)
             case orders.SendOrder(order):
                 self._send_order(order)
@@ -163,7 +163,8 @@
 
     def _send_order(self, order: orders.Order) -> None:
         # The process may have been suspended since the reducer issued the
-        # order; then the lease may have expired and the order is obsolete.
+        # order. In that case the lease may have expired and the order is
+        # obsolete.
         if not self.role.may_issue_orders(clock.read_monotonic()):
             return
         task = asyncio.create_task(self._post(order))
--- a/src/hickorylead/runtime/coordinator.py
+++ b/src/hickorylead/runtime/coordinator.py
@@ -45,17 +45,16 @@
 
     from hickorylead.configuration import document as document_module
 
-# Servers respond to orders and probes within a few ms; an unreachable server
-# never responds. In seconds.
+# Timeouts of calls, in seconds. Servers respond to orders and probes within a
+# few ms; an unreachable server never responds.
 ORDER_TIMEOUT_S = 0.4
-# A probe for a server's state decides whether it is dead, and the callers of
-# that server wait in the meantime. In seconds.
+# A probe decides whether a server is dead, while the server's callers wait.
 REPORT_TIMEOUT_S = 0.25
 CLOSE_IDLE_PERIOD_S = 0.5
 # Interval of attempts to reopen the disk after a failed write, in seconds.
 DISK_RETRY_S = 0.5
-# Voters detect the loss of a leader within about a second. The longest delay of
-# an event loop that syncs to a disk 25 times slower than usual is 50 ms.
+# Voters detect the loss of a leader within about a second. Syncs to a disk 25
+# times slower than usual delay the event loop by 50 ms at most.
 VOTER_OPTIONS = voter_module.VoterOptions(
     heartbeat_s=0.15,
     election_min_s=0.7,
@@ -353,7 +352,8 @@
         try:
             target.save(value)
         except OSError as error:
-            # It is used only after a restart, and is reported anew by then.
+            # The saved value is only used after a restart; by then the state is
+            # reported anew.
             self._log.write(notes.note("memo_not_saved", why=str(error)))
 
     def _open_folder(self) -> folder_module.DataFolder:
@@ -364,8 +364,8 @@
     def _handle_disk_failure(self, error: OSError, now: float) -> None:
         """Stops voting, since the voter's state now differs from the disk.
 
-        If it continued it could acknowledge a change that is lost at a
-        restart. Everything else continues; once the disk accepts writes again,
+        If the voter continued, it could acknowledge a change that a restart
+        loses. Everything else continues; once the disk accepts writes again,
         the voter restarts from the records on it.
         """
         self._disk_failed_at = now
@@ -459,7 +459,7 @@
                         notes.note("report_unreadable", server=effect.name)
                     )
             case calls.Response(status):
-                # Another server has this address now, or this one refuses
+                # Another server has this address now, or this server refuses
                 # calls.
                 self._log.write(
                     notes.note(
--- a/src/hickorylead/runtime/entry.py
+++ b/src/hickorylead/runtime/entry.py
@@ -143,7 +143,7 @@
         return response_queue
 
     def close_response(self, request_id: str) -> None:
-        """Removes a request; without a final response its caller is gone."""
+        """Removes a request that has ended or whose caller is gone."""
         if self._response_queues.pop(request_id, None) is not None:
             self.apply(events.CallerDisconnected(request_id))
 
--- a/src/hickorylead/runtime/entry_api.py
+++ b/src/hickorylead/runtime/entry_api.py
@@ -69,7 +69,7 @@
     async for chunk in request.stream():
         body += chunk
         if len(body) > limit:
-            # The rest is not read: it could be endless.
+            # The rest of the body is not read, since it could be endless.
             return result.Failure(
                 problems.refuse_input(
                     413,
--- a/src/hickorylead/runtime/forwarding.py
+++ b/src/hickorylead/runtime/forwarding.py
@@ -23,14 +23,15 @@
     from hickorylead.forwarding import header_codec as header_codec_module
     from hickorylead.runtime import gateway as gateway_module
 
-# When all nodes start together, as after a power failure, a gateway receives a
-# configuration 0.6 to 1.2 s after it accepts requests. A request waits for it
-# at most this long, in seconds, and at most this share of its caller's time: by
-# then most callers make their last attempt, and a request refused with a
-# Retry-After is lost.
+# Longest time that a request waits for the gateway's first configuration: in
+# seconds, and as a share of its caller's time. When all nodes start together,
+# as after a power failure, a gateway receives a configuration 0.6 to 1.2 s
+# after it accepts requests. Most callers are on their last attempt by then, so
+# a request refused with a Retry-After would be lost.
 START_WAIT_S = 1.5
 START_WAIT_SHARE = 1 / 3
-# Retry-After of that refusal, in seconds, with a jitter of 0.3 of it.
+# Retry-After of a request that is refused after this wait, in seconds, with a
+# jitter of 0.3 of it.
 STARTING_RETRY_S = 1.0
 
 
@@ -81,7 +82,7 @@
 
     A chunk of a stream is written at once if the connection can take it. If
     each chunk passed through the task that waits for effects, it would need
-    another iteration of the event loop: 2.2 per chunk instead of 1.2.
+    another iteration of the event loop: 2.2 for a chunk instead of 1.2.
     """
 
     def __init__(
@@ -126,9 +127,9 @@
     ) -> None:
         """Sends an effect without waiting.
 
-        An error concerns this caller alone: raised here, it would abort the
-        processing of the reducer's effects, and other callers would miss
-        theirs.
+        An error concerns this caller alone. If it were raised here, the
+        processing of the reducer's effects would be aborted, and other callers
+        would miss their effects.
         """
         sending = self._send(_make_message(effect))
         try:
@@ -254,7 +255,8 @@
             return None
         if isinstance(body, events.Refuse):
             return body
-        # Receiving the body may have taken a while: the present routes apply.
+        # The routes may have changed while the body was received; the current
+        # routes apply.
         routes = self._process.role.routes or routes
         match routes.find(host, path, metadata.key):
             case routes_module.NoRoute():
@@ -302,7 +304,8 @@
             watch_task.cancel()
             self._process.response_writers.pop(request.request_id, None)
             if writer.has_failed:
-                # The replica need not continue.
+                # The caller cannot receive the rest, so the replica need not
+                # continue.
                 self._process.apply(
                     events.CallerDisconnected(request.request_id)
                 )
@@ -343,7 +346,7 @@
         chunk = message.get("body", b"")
         size += len(chunk)
         if size > limit:
-            # The rest is not read: it could be endless.
+            # The rest of the body is not read, since it could be endless.
             return events.Refuse("", 413, "body_too_large")
         chunks.append(chunk)
         if not message.get("more_body"):
--- a/src/hickorylead/runtime/gateway.py
+++ b/src/hickorylead/runtime/gateway.py
@@ -36,12 +36,12 @@
     from hickorylead.configuration import document as document_module
     from hickorylead.forwarding import header_codec as header_codec_module
 
-# A balancer that probes once a second and removes a node after two failed
-# probes sends new connections for up to this long after the first one, in
-# seconds.
+# How long a balancer may still send new connections after the gateway becomes
+# not ready, in seconds. The balancer probes once a second and removes a node
+# after two failed probes.
 BALANCER_DETECTION_S = 2.6
-# Part of the time until SIGKILL that is reserved for ending the process, in
-# seconds.
+# Part of the time between SIGTERM and SIGKILL that is reserved for ending the
+# process, in seconds.
 SHUTDOWN_MARGIN_S = 0.5
 POLL_S = 0.05
 CLOSE_IDLE_PERIOD_S = 0.5
@@ -199,9 +199,9 @@
     async def _drain(self, listener: listener_module.Listener) -> None:
         """Finishes the pending requests before the process ends.
 
-        The balancer continues to send callers here until two of its probes
-        have found this gateway not ready; a connection that is refused before
-        that is a lost request.
+        The balancer sends new connections to this gateway until two of its
+        probes have found the gateway not ready. If a connection is refused
+        before then, its request is lost.
         """
         started_at = clock.read_boottime()
         deadline = started_at + max(
@@ -228,7 +228,7 @@
                 async with asyncio.timeout(limit_s):
                     await self._configured.wait()
             except TimeoutError:
-                # The caller gets a refusal with a Retry-After.
+                # The request is refused with a Retry-After.
                 pass
             finally:
                 self.waiting_for_configuration -= 1
--- a/src/hickorylead/runtime/json_codec.py
+++ b/src/hickorylead/runtime/json_codec.py
@@ -16,9 +16,10 @@
 
 T = TypeVar("T")
 
-# Numbers have 64 bits on the wire, and nodes still raise the fencing numbers
-# that they receive. A larger number, once accepted, could not be sent on: every
-# attempt to encode it would fail in the process that accepted it.
+# Largest integer accepted in JSON. Nodes raise fencing numbers above those that
+# they receive, so there must be room below the 64 bits of the wire format. A
+# number too large for that format would fail at each encode in the process that
+# accepted it.
 MAX_NUMBER = 1 << 53
 
 _OPERATION_KINDS = {
--- a/src/hickorylead/runtime/listener.py
+++ b/src/hickorylead/runtime/listener.py
@@ -128,7 +128,8 @@
         self._head_bytes += size
         if self._head_bytes > self.limits.max_header_bytes:
             self._respond_and_close(_HEAD_TOO_LONG_RESPONSE)
-            # This stops the parser: the rest of the connection is not read.
+            # The error stops the parser: the rest of the connection is not
+            # read.
             raise ValueError("the head of a request is too long")
 
     def _start_idle_timer(self) -> None:
@@ -185,7 +186,8 @@
             app,
             host=ip,
             port=port,
-            # uvloop contains io_uring code, which is not allowed here.
+            # uvloop contains io_uring code, which is not allowed on these
+            # machines.
             loop="asyncio",
             http=protocol,
             ws="none",
--- a/src/hickorylead/runtime/peers.py
+++ b/src/hickorylead/runtime/peers.py
@@ -1,8 +1,8 @@
 """Connections to the other processes of the system.
 
-Each process connects to the ones that it sends to. The receiver acknowledges
-what it has read, so that a connection that a middlebox has dropped silently is
-detected and replaced instead of losing all further messages.
+Each process connects to the processes that it sends messages to. The receiver
+acknowledges what it has read. The sender thus detects and replaces a connection
+that a middlebox has dropped silently, instead of losing all further messages.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 CONNECT_TIMEOUT_S = 1.0
 ACK_TIMEOUT_S = 2.0
-# Delay before a new connection, in seconds; short, so that a process that
-# starts just after this one is soon connected.
+# Delay before a failed connection is replaced, in seconds. It is short, so that
+# a process that starts just after this one is soon connected.
 RECONNECT_DELAY_S = 0.1
-# Limits the memory used for an unreachable node; the protocols above repeat
-# messages that are dropped.
+# Maximum number of messages queued for one node, which limits the memory used
+# for an unreachable node. The protocols above resend messages that are dropped.
 MAX_QUEUED_MESSAGES = 2000
 _READ_BYTES = 64 * 1024
 _ACK = b"\1"
@@ -154,7 +154,8 @@
             return
         address = self._addresses.get(node)
         if node.startswith("@"):
-            # A seed, whose node name is not known yet.
+            # The node is a seed, given by its address; its name is not known
+            # yet.
             address = node[1:]
         if address is None:
             return
--- a/src/hickorylead/runtime/process.py
+++ b/src/hickorylead/runtime/process.py
@@ -32,8 +32,8 @@
     """Stops the process when a task that must keep running has failed.
 
     A process without ticks still responds, but renews nothing and detects no
-    timeouts. This is worse than a process that has ended, which other nodes
-    detect.
+    timeouts. This is worse than a process that has ended, since other nodes
+    detect the end of a process.
     """
 
     def on_done(completed: asyncio.Task[None]) -> None:
--- a/src/hickorylead/runtime/scrape.py
+++ b/src/hickorylead/runtime/scrape.py
@@ -23,7 +23,9 @@
     port: int,
     collect_gauges: Callable[[], dict[str, float]],
 ) -> server.HttpServer | None:
-    """Opens the metrics port; if it is taken, the process runs without.
+    """Opens the metrics port; returns None if it is not opened.
+
+    If the port is taken, the process runs without the metrics endpoint.
 
     The caller must keep the returned server and close it at the end.
 
--- a/src/hickorylead/runtime/sockets.py
+++ b/src/hickorylead/runtime/sockets.py
@@ -4,9 +4,9 @@
 
 import socket
 
-# Connections that wait until the process accepts them. After a power failure
-# all callers of a zone connect within a second; the busiest known deployments
-# open about 30 connections a second at each gateway.
+# Maximum number of connections that wait until the process accepts them. After
+# a power failure all callers of a zone connect within a second; the busiest
+# known deployments open about 30 connections a second at each gateway.
 BACKLOG = 512
 
 
--- a/src/hickorylead/runtime/ticker.py
+++ b/src/hickorylead/runtime/ticker.py
@@ -14,8 +14,8 @@
     from hickorylead.telemetry import decisions
 
 
-# A tick that is later than this is logged, in seconds: a third of the shortest
-# objective. The process was busy, or got no processor time.
+# A tick that is later than this many seconds is logged: a third of the shortest
+# objective. The process was busy at that time, or got no processor time.
 LATE_TICK_S = 0.1
 
 
--- a/src/hickorylead/runtime/upstream.py
+++ b/src/hickorylead/runtime/upstream.py
@@ -3,7 +3,7 @@
 The usual HTTP client is not used here, because it hides whether a request may
 have run: it resends by itself when a kept-alive connection breaks, treats a
 response without a length as complete when its connection was reset, and reads
-bytes that follow a response as the next one. The parser is httptools.
+bytes that follow a response as the next response. The parser is httptools.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 
 Verdict = verdict_module.Verdict
 
-# A replica in the same region accepts a connection within about 2 ms; an
-# unreachable one never does, and callers wait in the meantime. A lost SYN is
-# retransmitted after a second, which is too late anyway. In seconds.
+# Timeout for opening a connection, in seconds. A replica in the same region
+# accepts a connection within about 2 ms; an unreachable replica never does, and
+# callers wait in the meantime. A lost SYN is retransmitted after a second,
+# which is too late anyway.
 CONNECT_TIMEOUT_S = 0.15
-# An idle connection is closed this long before the server would close it, in
-# seconds, since a request that arrives during the close is lost.
+# An idle connection is closed this many seconds before the replica would close
+# it, since a request that arrives during the close is lost.
 EXPIRY_MARGIN_S = 0.6
-# Keep-alive time if the server does not specify one, in seconds.
+# Keep-alive time of a connection if the replica specifies none, in seconds.
 DEFAULT_KEEPALIVE_S = 0.8
 MAX_HEAD_BYTES = 64 * 1024
 
 
 class Receiver(Protocol):
-    """Callbacks of one exchange; the methods are called in this order."""
+    """Callbacks of one exchange, called in the order of the methods here."""
 
     def on_headers(
         self, status: int, headers: list[tuple[bytes, bytes]]
@@ -90,8 +91,8 @@
             return
         is_unframed = self._has_head and not self._has_length
         if is_unframed and exc is None:
-            # Without a length the end of the connection ends the response. A
-            # reset does not, since bytes may be missing.
+            # A response without a length ends with the connection. A reset does
+            # not complete it, since bytes may be missing.
             receiver.on_complete()
             return
         reason = "closed" if exc is None else "reset"
@@ -169,8 +170,8 @@
         if receiver is None or not self._has_head:
             return
         self._receiver = None
-        # A replica may respond before it has read the complete body; the rest
-        # of the body would be read as the next request.
+        # A replica may respond before it has read the complete request body; it
+        # would read the rest of that body as the next request.
         is_clean = (
             not self._must_close
             and self._has_length
@@ -179,9 +180,9 @@
         if is_clean and self.is_usable:
             loop = asyncio.get_running_loop()
             self.usable_until = loop.time() + self._keepalive_s
-            # Bytes that follow the response arrive in the same read; the
+            # Any bytes that follow the response arrive in the same read. The
             # connection may be reused only after that read, when it is known
-            # that there are none.
+            # that no bytes follow.
             loop.call_soon(self._release, self)
         else:
             self.close()
--- a/src/hickorylead/storage/folder.py
+++ b/src/hickorylead/storage/folder.py
@@ -20,7 +20,8 @@
 _IDENTITY_FILE = "identity.json"
 _JOURNAL_FILE = "journal"
 _PROBE_FILE = "probe"
-# Size of the probe file: a few of the largest configurations in use.
+# Size of the probe file, in bytes: that of a few of the largest configurations
+# in use.
 PROBE_BYTES = 64 * 1024
 # A journal with this many records is replaced by a snapshot.
 COMPACTION_RECORDS = 1024
--- a/src/hickorylead/storage/saved_value.py
+++ b/src/hickorylead/storage/saved_value.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import pathlib
 
-# Checksum, number of the save, length of the value.
+# Header of a file: checksum, number of the save, length of the value.
 _HEADER = struct.Struct(">IQI")
 
 
@@ -53,7 +53,8 @@
     try:
         body = path.read_bytes()
     except OSError:
-        # Not saved yet, or unreadable: there is nothing to restore.
+        # The value was not saved yet or cannot be read: there is nothing to
+        # restore.
         return 0, b""
     if len(body) < _HEADER.size:
         return 0, b""
--- a/src/hickorylead/telemetry/decision_metrics.py
+++ b/src/hickorylead/telemetry/decision_metrics.py
@@ -16,8 +16,8 @@
 
     from hickorylead import notes
 
-# Upper bounds of the buckets, in seconds: around the known latency objectives
-# (0.1 to 0.5 s) and up to the longest timeouts (8 s).
+# Upper bounds of the histograms' buckets, in seconds: around the known latency
+# objectives (0.1 to 0.5 s) and up to the longest timeouts (8 s).
 BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
 # Maximum number of label pairs (event and detail) of the counter. The details
 # of further pairs are counted as "other", so that no input can make memory grow
--- a/src/hickorylead/telemetry/decisions.py
+++ b/src/hickorylead/telemetry/decisions.py
@@ -16,13 +16,14 @@
 
     from hickorylead import notes
 
-# Most bytes written in a second. Near the limit, lines of lower levels are
-# dropped first, beginning with those of answered requests. A gateway writes
-# some 500 bytes for each request.
+# Maximum number of bytes written in a second. Near the limit, lines of lower
+# levels are dropped first, beginning with the lines about answered requests. A
+# gateway writes some 500 bytes for each request.
 BYTES_PER_S = 64 * 1024
-# Share of that budget at which lines of a level are dropped.
+# Share of BYTES_PER_S for each level: lines of a level are dropped once more
+# bytes than its share were written in the same second.
 _SHARES = {"debug": 0.3, "info": 0.7, "warning": 0.9, "error": 1.0}
-# Most lines that are buffered while the reader of standard output is slow.
+# Maximum number of lines buffered while the reader of standard output is slow.
 MAX_BUFFERED_LINES = 2000
 
 
@@ -92,8 +93,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nothing reads the output any more, so that there is no place
-                # left to report the failure.
+                # Nothing reads the output any more, so there is no place left
+                # to report the failure.
                 self._buffer.clear()
                 return
             if written < len(line):
--- a/src/hickorylead/telemetry/losses.py
+++ b/src/hickorylead/telemetry/losses.py
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Length of the windows of the table by time, in seconds.
+# Length of the time windows in the table of losses by time, in seconds.
 WINDOW_S = 2.0
-# A late request that waited in its gateway for more than this share of its
-# objective is late because of the wait. Below it, the replica had most of the
-# time.
+# Share of its objective that a late request may wait in its gateway. If it
+# waited longer, it is late because of the wait; otherwise its replica had most
+# of the time.
 WAIT_SHARE = 0.3
-# A stall is confirmed if a member of the group was reported lost, or the group
-# ended, from this long before the gateway detected the stall until this long
-# after it, in seconds: heartbeats alone show a loss only after 1.8 s and one
-# probe without a reply.
+# Window around the detection of a stall by a gateway, in seconds before and
+# after it. The stall is confirmed if a member of the group was reported lost,
+# or the group ended, within the window: heartbeats alone show a loss only after
+# 1.8 s and one probe without a reply.
 CONFIRMED_BEFORE_S = 1.0
 CONFIRMED_AFTER_S = 2.5
 EXAMPLES_PER_CAUSE = 2
@@ -147,7 +147,7 @@
             times.sort()
 
     def has_ended(self, server: str, at: float) -> bool | None:
-        """Returns whether the group of a server ended at about a time.
+        """Returns whether the group of a server ended around a time.
 
         Returns:
             None if no coordinator's log shows the group of that server.
--- a/src/hickorylead/telemetry/timelines.py
+++ b/src/hickorylead/telemetry/timelines.py
@@ -10,13 +10,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Events of the servers of a request belong to its timeline from this long
-# before its first line until this long after its last, in seconds: the loss of
-# a member is detected within some two seconds, and its group serves again some
-# seconds later.
+# The timeline of a request includes events of its servers from this long before
+# the request's first line until this long after its last line, in seconds. The
+# loss of a member is detected within some two seconds, and its group serves
+# again some seconds later.
 BEFORE_S = 3.0
 AFTER_S = 3.0
-# Fields that the first columns show, or that are of no use to a reader.
+# Fields that are left out of a line's list of fields: the first columns show
+# them, or they are of no use to a reader.
 _SHOWN = frozenset({"time", "vm", "role", "zone", "event", "level"})
 
 
--- a/src/hickorylead/telemetry/traces.py
+++ b/src/hickorylead/telemetry/traces.py
@@ -89,7 +89,8 @@
 
         class Collector(trace.SpanProcessor):
             def on_end(self, span: trace.ReadableSpan) -> None:
-                # Bounds memory while the OTLP endpoint is unreachable.
+                # The limit bounds memory while the OTLP endpoint is
+                # unreachable.
                 if len(ended) < MAX_ENDED_SPANS:
                     ended.append(span)
 
--- a/src/hickorylead/wire/codec.py
+++ b/src/hickorylead/wire/codec.py
@@ -29,7 +29,8 @@
     from hickorylead.consensus import messages as consensus
     from hickorylead.roles import interface
 
-# Limits the unpacked size, which may be much larger than the packed size.
+# Maximum unpacked size of a message, in words. The unpacked size may be much
+# larger than the packed size.
 MAX_TRAVERSED_WORDS = 8 * 1024 * 1024
 _MAX_NESTING = 32
 _CHECKSUM = struct.Struct(">I")
--- a/src/hickorylead_standins/announcer.py
+++ b/src/hickorylead_standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announces stand-ins to an entry, and to the next one if that fails."""
+"""Announces stand-ins to an entry, and to the next entry if that fails."""
 
 from __future__ import annotations
 
--- a/src/hickorylead_standins/platform.py
+++ b/src/hickorylead_standins/platform.py
@@ -109,7 +109,7 @@
             address: `ip:port`.
             zone: Its zone.
             controls: Addresses of coordinators.
-            domain: Its fabric domain; empty for a plain one.
+            domain: Its fabric domain; empty for a plain service.
         """
         self.name = name
         self.manner = Manner()
@@ -345,6 +345,6 @@
     try:
         response = await send_raw(address, head.encode() + content, source_ip)
     except OSError:
-        # Nothing listens there: the caller tries the next address.
+        # Nothing listens at this address: the caller tries the next one.
         return 0
     return int(response.split(b" ", 2)[1]) if response else 0
--- a/tests/platform/connections.feature
+++ b/tests/platform/connections.feature
@@ -1,6 +1,6 @@
 Feature: Connections to replicas
 
-  Scenario Outline: A response is complete only if it ends as framed
+  Scenario Outline: A response is complete only if it ends as its framing requires
     Given a replica that responds with <response>
     When a request is sent to the replica
     Then the result is <result>
@@ -17,7 +17,7 @@
 
   Scenario: Bytes after a response are not taken for another response
     A faulty replica sends a second response behind the first one. On the same
-    connection the next request would receive it.
+    connection the next request would receive the second response.
     Given a replica that responds with a length and a second response
     When two requests are sent to the replica
     Then the second request goes over a new connection
@@ -27,7 +27,7 @@
     When two requests are sent to the replica 0.7 seconds apart
     Then the second request goes over a new connection
 
-  Scenario: A request that could not connect has not run
+  Scenario: A request whose connection could not be opened has not run
     Given a replica that does not listen
     When a request is sent to the replica
     Then the result is not_run
--- a/tests/platform/faults.feature
+++ b/tests/platform/faults.feature
@@ -3,8 +3,9 @@
   Scenario: A coordinator with a full disk keeps running without voting
     The disk of one coordinator refuses every write. If it continued to vote, it
     could acknowledge changes that a restart loses; if it ended, its backend
-    servers would lose it as well. It stops voting, and the other coordinators
-    acknowledge a change, which it receives once the disk is writable again.
+    servers would lose their coordinator as well. It stops voting, and the other
+    coordinators acknowledge a change, which it receives once the disk is
+    writable again.
     Then a coordinator with a full disk stops voting and recovers
 
   Scenario: Stopping a gateway aborts no request
@@ -26,11 +27,11 @@
     Then 5000 lines into a pipe that nobody reads are written or counted
 
   Scenario: A connection whose request head arrives too slowly is closed
-    A caller opens a connection and sends half a head. Without a limit it would
-    occupy a descriptor forever.
+    A caller opens a connection and sends half a head. Without a limit the
+    connection would occupy a descriptor forever.
     Then half a head gets a response with status 408 after the time limit
 
-  Scenario: Servers that report a rate limit get no more requests, on real sockets
+  Scenario: Servers that report a rate limit get no requests beyond their permits, on real sockets
     Both servers of a plain service report a limit of one request in ten
     seconds. A gateway and the coordinators are real: the first call to each
     server reports the limit, the initial permits serve two more calls, and all
@@ -42,14 +43,14 @@
     Then of 10 calls in a row to two servers that request a pause each gets 1
     And the others are refused with a retry time, as paused
 
-  Scenario: A server that reports that it is leaving gets no calls, on real sockets
-    Its heartbeats still report that it is ready.
-    Then of 10 calls in a row to two servers one that is leaving gets 1 at most
+  Scenario: A server that reports that it is leaving gets no more calls, on real sockets
+    The heartbeats of the leaving server still report that it is ready.
+    Then of 10 calls in a row to two servers the leaving one gets at most 1
 
-  Scenario: A server that reports in an order's response that it is leaving drains
+  Scenario: A server is drained if its response to an order says that it is leaving
     Then a server that reports leaving in the response to an order is draining
 
-  Scenario: A coordinator restores the lost runs that its previous process saved
+  Scenario: A request that ended servers stays blocked after the coordinators restart
     All coordinators restart. A request that ended three servers would end
     three more if the new process could not decode the file of the previous one.
     Then a request that was blocked before a coordinator restarts stays blocked
--- a/tests/platform/formats.feature
+++ b/tests/platform/formats.feature
@@ -8,7 +8,7 @@
     Given a platform settings file for a gateway with three faults
     Then the gateway's process prints one line and ends with exit code 2
 
-  Scenario: Unknown fields are ignored
+  Scenario: Unknown fields in the settings file are ignored
     Given a platform settings file with an unknown field
     Then its seeds are the peer addresses of the coordinators
 
@@ -48,13 +48,13 @@
     Then its heartbeat, report and deregistration contain that start time
     And a deregistration without a body contains no start time
 
-  Scenario: The key is not forwarded and the workspace can't be forged
+  Scenario: A caller's key is not forwarded and its workspace can't be forged
     A caller sends the header that names its workspace to replicas. If it were
     forwarded, the caller could act for another workspace.
     Given a platform request with a forged workspace
     Then the replica receives workspace "crew" once and no key
 
-  Scenario: Headers of a single connection are not forwarded
+  Scenario: Headers that concern only one connection are not forwarded
     Given a platform request with connection headers
     Then the replica receives none of them
 
@@ -98,8 +98,8 @@
       | 500    | 1    | leaving     |
       | 200    | 0    | not leaving |
 
-  Scenario Outline: The server at fault is decoded from a 503 only
-    A 421 names the server that has the address now, which is not at fault.
+  Scenario Outline: The server at fault is decoded from responses with status 503 only
+    Status 421 names the server that has the address now, which is not at fault.
     Given a replica's response with status <status> that names "i-1" as at fault
     Then the server at fault is "<name>"
 
--- a/tests/platform/sessions.feature
+++ b/tests/platform/sessions.feature
@@ -1,6 +1,6 @@
 Feature: Recorded sessions of the platform, on real sockets
 
-  Scenario Outline: A session gives the recorded lines
+  Scenario Outline: A repeated session gives the recorded lines
     Three coordinators with disks, a gateway, and stand-in backend servers run.
     The golden file holds what the caller, servers and operator sent and
     received.
--- a/tests/runtime/callers.feature
+++ b/tests/runtime/callers.feature
@@ -3,7 +3,7 @@
   Scenario: Chunks for a caller that reads slowly keep their order
     A connection is full, so the sending task waits with a chunk. The connection
     becomes writable and the next chunk arrives before the task runs again.
-    If that chunk were written at once, it would overtake the waiting one.
+    If that chunk were written at once, it would overtake the waiting chunk.
     Given a caller whose connection is full after the first chunk
     When two more chunks arrive, one before and one after it is writable again
     Then the caller receives all chunks in order
@@ -16,10 +16,11 @@
     When the response arrives
     Then nothing is raised, the response is aborted, and the reason is logged
 
-  Scenario: A caller that connects while a gateway starts waits for it
-    All gateways lose power and restart. Each opens its port at once, a second
-    before the rest is loaded. A caller that connects in that second is served
-    afterwards; if refused, it would use up its only other attempt.
+  Scenario: A caller that connects to a starting gateway waits until it is served
+    All gateways lose power and restart. Each gateway opens its port at once,
+    a second before its other modules are loaded. A caller that connects in that
+    second is served afterwards; if refused, the caller would use up its only
+    other attempt.
     Given a port that was opened before anything else
-    When a request is sent and the listener starts after it
+    When a request is sent before the listener starts
     Then the response has status 200
--- a/tests/runtime/failures.feature
+++ b/tests/runtime/failures.feature
@@ -1,7 +1,7 @@
 @processes
 Feature: Failures of real processes
 
-  Scenario: The holder of a zone lease and the leader of the log are killed
+  Scenario: Callers are served after a zone's lease holder and the log leader are killed
     Both control processes are ended by SIGKILL. Requests of callers still
     succeed; after the takeover an operator's change is accepted.
     When the log leader and a zone's lease holder are killed
@@ -15,10 +15,10 @@
     SIGCONT resumes it. The groups keep serving, and at most one process holds
     the lease.
     When a zone's lease holder is frozen until another one holds the lease
-    And it resumes
+    And the frozen process resumes
     Then one process holds the lease of that zone and all replicas serve
 
-  Scenario: The entry that runs a work order is killed
+  Scenario: A work order runs only once although its entry is killed
     The entry is ended by SIGKILL while the plain service runs an order. The
     response to the resend through another zone says that the order may have
     run. It ran once.
@@ -27,7 +27,7 @@
     When the killed processes are started again
     Then every process follows the newest version
 
-  Scenario: An entry is stopped by SIGTERM while a stream runs
+  Scenario: An entry that is stopped by SIGTERM completes its stream
     The entry accepts no new connections, the stream is completed, and the
     process ends with exit code 0.
     When an entry gets SIGTERM while a stream runs
@@ -35,7 +35,7 @@
     When the killed processes are started again
     Then every process follows the newest version
 
-  Scenario: A voter's data folder is removed
+  Scenario: No accepted change is lost when a voter's data folder is removed
     A voter is killed, its folder is deleted, and it is started again. It joins
     as a new member, and no accepted change is lost.
     When a voter is killed and its data folder removed
@@ -45,4 +45,4 @@
 
   Scenario: A data folder of another VM is refused at start
     When a control process is started with another VM's data folder
-    Then it ends with exit code 6 and logs the owner of the folder
+    Then the process ends with exit code 6 and logs the owner of the folder
--- a/tests/runtime/interfaces.feature
+++ b/tests/runtime/interfaces.feature
@@ -42,11 +42,11 @@
     When malformed data is sent to the peer ports of an entry and a control process
     Then the entry still serves requests
 
-  Scenario: Health, readiness and metrics
+  Scenario: Health, readiness and metrics of processes can be queried
     Then the entry reports its health, its readiness and its metrics
     And a control process reports group downtime and stranded accelerators
 
-  Scenario: Status is a table for people and JSON for programs
+  Scenario: The status command prints a table for people or JSON for programs
     Then status prints a table, and with --json the same as JSON
 
   Scenario: Each role runs as one process
@@ -55,7 +55,7 @@
   Scenario: Logs are JSON lines with the fields that operators search for
     Then each log line is JSON with time, level, role, zone, vm and version
 
-  Scenario: Explain shows attempts and scored replicas, through any entry
+  Scenario: Any entry can explain a request's attempts and scored replicas
     A request was served through one entry; the operator requests its
     explanation from another one, in another zone.
     When a request is served and another entry is queried to explain it
--- a/tests/steps/caller_steps.py
+++ b/tests/steps/caller_steps.py
@@ -117,7 +117,7 @@
     await send({"type": "http.response.body", "body": b"yes"})
 
 
-@when("a request is sent and the listener starts after it")
+@when("a request is sent before the listener starts")
 def _(context):
     ip, port = context.listening_socket.getsockname()
 
--- a/tests/steps/disk_steps.py
+++ b/tests/steps/disk_steps.py
@@ -58,7 +58,7 @@
         asyncio.run(asyncio.wait_for(context.process.run(), LIMIT_S))
 
 
-@when("a vote is requested from it")
+@when("a vote is requested from the voter")
 def _(context):
     request_vote(context)
 
@@ -74,14 +74,14 @@
     raise AssertionError("the process did not end")
 
 
-@then("it replies to no later message")
+@then("the voter replies to no later message")
 def _(context):
     request_vote(context)
     context.process.apply(interface.Tick(0.0))
     context.peers.send.assert_not_called()
 
 
-@when("its reducer fails on the next tick")
+@when("the voter's reducer fails on the next tick")
 def _(context):
     context.process.role = mock.Mock()
     context.process.role.reduce.side_effect = RuntimeError("a fault")
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -121,7 +121,7 @@
     )
 
 
-@when("it resumes")
+@when("the frozen process resumes")
 def _(context):
     context.deployment.signal(context.frozen, signal.SIGCONT)
 
@@ -259,7 +259,7 @@
     context.process = deployment.processes["wrong-folder"]
 
 
-@then("it ends with exit code 6 and logs the owner of the folder")
+@then("the process ends with exit code 6 and logs the owner of the folder")
 def _(context):
     assert context.process.wait(timeout=20) == 6
     text = (context.deployment.folder / "wrong-folder.log").read_text()
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -53,7 +53,7 @@
     context.peer = IgnoringPeer()
 
 
-@when("messages are sent to it until one arrives")
+@when("messages are sent to the peer until one arrives")
 def _(context):
     async def run():
         server = await asyncio.start_server(context.peer.serve, "127.0.0.1", 0)
@@ -72,7 +72,7 @@
         asyncio.run(run())
 
 
-@then("they arrive over a second connection")
+@then("the messages arrive over a second connection")
 def _(context):
     assert context.peer.connections == 2
     first = context.peer.received[0].message
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -281,7 +281,7 @@
     )
 
 
-@then("of 10 calls in a row to two servers one that is leaving gets 1 at most")
+@then("of 10 calls in a row to two servers the leaving one gets at most 1")
 def _(context):
     asyncio.run(platform_cluster.run_session(call_leaving))
 
--- a/tests/steps/storage_steps.py
+++ b/tests/steps/storage_steps.py
@@ -41,7 +41,7 @@
     context.open = lambda: open_journal(context)
 
 
-@then("opening it again gives the {count:d} records")
+@then("opening the journal again gives the {count:d} records")
 def _(context, count):
     opened = open_journal(context)
     assert opened.payloads == context.payloads and count == len(
@@ -50,7 +50,7 @@
     opened.close()
 
 
-@when("half a record is written behind them")
+@when("half a record is written behind the records")
 def _(context):
     data = context.path.read_bytes()
     context.path.write_bytes(data + b"\0\0\0\x40\1\2\3\4torn rec")
@@ -84,7 +84,7 @@
     raise AssertionError("the folder was opened")
 
 
-@then("truncated at any byte it opens with all complete records")
+@then("the journal truncated at any byte opens with all complete records")
 def _(context):
     data = context.path.read_bytes()
     ends = [data.index(payload) + len(payload) for payload in context.payloads]
@@ -103,7 +103,7 @@
     context.open = lambda: folder.DataFolder(context.folder, node)
 
 
-@then('"{node}" cannot open it, with an error naming its owner')
+@then('"{node}" cannot open the folder, and the error names its owner')
 def _(context, node):
     try:
         folder.DataFolder(context.folder, node)
@@ -157,7 +157,7 @@
     context.data_folder.close()
 
 
-@then("a voter restored from it has the same state")
+@then("a voter restored from the journal has the same state")
 def _(context):
     restored = make_voter()
     restored.restore(folder.DataFolder(context.folder, NODE).records)
@@ -179,7 +179,7 @@
     context.count = count
 
 
-@when("its last save is truncated at any byte")
+@when("the last save of the value is truncated at any byte")
 def _(context):
     file = context.value_folder / f"servers.{context.count % 2}"
     data = file.read_bytes()
@@ -191,6 +191,6 @@
         )
 
 
-@then("opening it gives the value of the previous save")
+@then("opening the value's files gives the previous save")
 def _(context):
     assert set(context.values) == {b"value %d" % (context.count - 1)}
--- a/tests/steps/timeline_steps.py
+++ b/tests/steps/timeline_steps.py
@@ -46,7 +46,10 @@
     context.timeline = timelines.find_timeline([context.log], "never")
 
 
-@then("it shows the failed attempt, the second one and the end as recorded")
+@then(
+    "the timeline shows the failed attempt, the second attempt and the end as"
+    " recorded"
+)
 def _(context):
     request_timeline = timelines.Timeline(
         tuple(x for x in context.timeline.lines if "request_id" in x.fields), 0
--- a/tests/storage/journal.feature
+++ b/tests/storage/journal.feature
@@ -2,14 +2,14 @@
 
   Scenario: Synced records are restored
     Given a journal with 5 records
-    Then opening it again gives the 5 records
+    Then opening the journal again gives the 5 records
 
   Scenario: A torn record at the end is truncated
     A power loss interrupted the write of a record. It was never synced, so it
     was never acknowledged; the records before it are kept.
     Given a journal with 5 records
-    When half a record is written behind them
-    Then opening it again gives the 5 records
+    When half a record is written behind the records
+    Then opening the journal again gives the 5 records
     And a record added now is restored as well
 
   Scenario: Damage before the end is an error
@@ -28,13 +28,13 @@
 
   Scenario: Truncating the file at any byte keeps the records before it
     Given a journal with 5 records
-    Then truncated at any byte it opens with all complete records
+    Then the journal truncated at any byte opens with all complete records
 
   Scenario: The data folder of another VM is refused
     A folder was copied to or mounted on the wrong VM. Two voters with one name
     could acknowledge two different changes.
     Given a data folder of "buda-hall/vm1/control"
-    Then "pest-hall/vm1/control" cannot open it, with an error naming its owner
+    Then "pest-hall/vm1/control" cannot open the folder, and the error names its owner
 
   Scenario: A torn identity file is an error
     Given a data folder of "buda-hall/vm1/control"
@@ -44,9 +44,9 @@
   Scenario: A large journal is replaced by a snapshot
     Given a voter that has persisted 1100 records
     When the journal is replaced
-    Then a voter restored from it has the same state
+    Then a voter restored from the journal has the same state
 
-  Scenario: A torn save of a value leaves the previous one
+  Scenario: The previous value is kept when the save of a new value is torn
     Given a value that was saved 3 times
-    When its last save is truncated at any byte
-    Then opening it gives the value of the previous save
+    When the last save of the value is truncated at any byte
+    Then opening the value's files gives the previous save
--- a/tests/telemetry/losses.feature
+++ b/tests/telemetry/losses.feature
@@ -1,4 +1,4 @@
-Feature: Late, refused and aborted requests, by cause, from logs alone
+Feature: Causes of late, refused and aborted requests, found in logs alone
 
   A loss is a request that was late, refused or aborted.
 
--- a/tests/telemetry/metrics.feature
+++ b/tests/telemetry/metrics.feature
@@ -2,7 +2,7 @@
 
   Scenario: Every scrape succeeds, not only the first
     If scrapes share the registry of the process, the collectors of the second
-    scrape clash with those of the first one: every scrape but the first fails.
+    scrape clash with those of the first: every scrape except the first fails.
     Each time, the process logs that a collector is already registered.
     Given a process that has recorded 2 decisions
     When its metrics are scraped
--- a/tests/telemetry/timelines.feature
+++ b/tests/telemetry/timelines.feature
@@ -6,7 +6,7 @@
     its attempt and the logs of the processes.
     Given the logs of a cluster in which a replica reset a stream
     When the timeline of the caller's attempt is requested
-    Then it shows the failed attempt, the second one and the end as recorded
+    Then the timeline shows the failed attempt, the second attempt and the end as recorded
 
   Scenario: Malformed lines do not hide the rest of the timeline
     A log has a truncated line where a process was killed, and lines of other
@@ -14,7 +14,7 @@
     Given the logs of a cluster in which a replica reset a stream
     And a truncated line and a line of another program among them
     When the timeline of the caller's attempt is requested
-    Then it shows the failed attempt, the second one and the end as recorded
+    Then the timeline shows the failed attempt, the second attempt and the end as recorded
     And 2 lines are counted as malformed
 
   Scenario: The timeline of a request that no log mentions is empty
--- a/tests/wire/frames.feature
+++ b/tests/wire/frames.feature
@@ -1,6 +1,6 @@
 Feature: Frames and messages between processes
 
-  Scenario: For any bytes received, the reader returns frames or an error
+  Scenario: The frame reader returns frames or an error for any received bytes
     Bytes arrive in chunks of any size, damaged or not. The reader raises only
     its own error, buffers at most one frame, and returns exactly what was
     packed.
@@ -21,7 +21,7 @@
     as its reader is freed, and such an error ends the process.
     Then a message of 200 servers is refused wherever it is truncated
 
-  Scenario: Every message type is unchanged by encoding and decoding
+  Scenario: Messages of every type are unchanged by encoding and decoding
     Then each message type with drawn contents is the same after the codec
 
   Scenario: The committed schema equals the one generated from the classes
